--- a/crates/auburnbridge_log/src/config.rs
+++ b/crates/auburnbridge_log/src/config.rs
@@ -9,13 +9,13 @@
     pub(crate) heartbeat_interval: Millis,
     pub(crate) snapshot_after_records: u64,
     pub(crate) retained_records: u64,
-    pub(crate) append_bytes: usize,
-    pub(crate) pending_records: u64,
+    pub(crate) max_append_bytes: usize,
+    pub(crate) max_pending_records: u64,
     pub(crate) lease_reads: bool,
 }
 
 impl Config {
-    /// Starts from the defaults.
+    /// Returns a builder with the default settings.
     pub fn builder() -> ConfigBuilder {
         ConfigBuilder {
             config: Self {
@@ -23,8 +23,8 @@
                 heartbeat_interval: Millis(75),
                 snapshot_after_records: 10_000,
                 retained_records: 1_000,
-                append_bytes: 1024 * 1024,
-                pending_records: 8_192,
+                max_append_bytes: 1024 * 1024,
+                max_pending_records: 8_192,
                 lease_reads: false,
             },
         }
@@ -37,66 +37,71 @@
     }
 }
 
-/// Builder of a [`Config`].
+/// Builder for a [`Config`].
 #[derive(Clone, Debug)]
 pub struct ConfigBuilder {
     config: Config,
 }
 
 impl ConfigBuilder {
-    /// Shortest election timeout; a replica draws one between this and twice this. Default 300 ms.
+    /// Minimum election timeout; a replica draws its timeout at random between this value and twice
+    /// this value. Default: 300 ms.
     #[must_use]
     pub fn election_timeout(mut self, timeout: Millis) -> Self {
         self.config.election_timeout = timeout;
         self
     }
 
-    /// Time between two heartbeats of a leader. Default 75 ms.
+    /// Interval between two heartbeats of a leader. Default: 75 ms.
     #[must_use]
     pub fn heartbeat_interval(mut self, interval: Millis) -> Self {
         self.config.heartbeat_interval = interval;
         self
     }
 
-    /// Applied records after which a snapshot is asked for. Default 10,000.
+    /// Number of records applied since the last snapshot after which a new one is requested.
+    /// Default: 10,000.
     #[must_use]
     pub fn snapshot_after_records(mut self, records: u64) -> Self {
         self.config.snapshot_after_records = records;
         self
     }
 
-    /// Records before the snapshot that stay in memory for slow followers. Default 1,000.
+    /// Number of records before the snapshot that stay in memory for slow followers. Default:
+    /// 1,000.
     #[must_use]
     pub fn retained_records(mut self, records: u64) -> Self {
         self.config.retained_records = records;
         self
     }
 
-    /// Bytes of data after which an append message is full. Default 1 MiB.
+    /// Maximum size of the record data in an append message, in bytes. A single larger record is
+    /// sent alone. Default: 1 MiB.
     #[must_use]
-    pub fn append_bytes(mut self, bytes: usize) -> Self {
-        self.config.append_bytes = bytes;
+    pub fn max_append_bytes(mut self, bytes: usize) -> Self {
+        self.config.max_append_bytes = bytes;
         self
     }
 
-    /// Uncommitted records after which a leader rejects proposals. Default 8,192.
+    /// Number of uncommitted records at which a leader rejects proposals, and of pending reads at
+    /// which it rejects reads. Default: 8,192.
     #[must_use]
-    pub fn pending_records(mut self, records: u64) -> Self {
-        self.config.pending_records = records;
+    pub fn max_pending_records(mut self, records: u64) -> Self {
+        self.config.max_pending_records = records;
         self
     }
 
-    /// Whether a leader with a lease answers reads without a round of messages. Default no.
+    /// Whether a leader that holds a lease serves reads without a heartbeat round. Default: false.
     ///
-    /// A lease is sound only if the clock passed to `step` runs at the same rate on all replicas,
-    /// which a wall clock that is being corrected doesn't promise.
+    /// A lease is sound only if the clock passed to `step` runs at the same rate on all replicas. A
+    /// wall clock that is being adjusted does not guarantee this.
     #[must_use]
     pub fn lease_reads(mut self, enabled: bool) -> Self {
         self.config.lease_reads = enabled;
         self
     }
 
-    /// The settings.
+    /// Builds the settings.
     pub fn build(self) -> Config {
         self.config
     }
--- a/crates/auburnbridge_log/src/hard_state.rs
+++ b/crates/auburnbridge_log/src/hard_state.rs
@@ -1,4 +1,4 @@
-//! State that a replica must not forget, besides its records.
+//! Persistent state of a replica other than its records: term, vote and boots.
 
 use std::collections::BTreeMap;
 
@@ -6,57 +6,58 @@
 
 use crate::{ReplicaId, Term};
 
-/// Bound on the unconfirmed starts that a replica lists; an older one is dropped, which at worst
-/// makes its peers refuse a good folder.
-pub(crate) const MAX_ATTEMPTS: usize = 64;
+/// Maximum number of unconfirmed boots that a replica lists. Beyond that, the oldest is dropped; in
+/// the worst case, peers then reject a valid data folder.
+pub(crate) const MAX_BOOT_ATTEMPTS: usize = 64;
 
-/// Bound on the table of peers; members come first.
+/// Maximum number of peers in the boot table; members take precedence over other replicas.
 pub(crate) const MAX_PEERS: usize = 64;
 
-/// Start of a replica.
+/// Identity of one boot, that is, one start of a replica from its data folder.
 ///
-/// The counter moves on only after a start that the peers confirmed. A copy of an older folder thus
-/// can't reach a counter that is new to them by starting often, and the random number tells two
-/// starts with the same counter apart. `attempts` holds the numbers of the earlier starts that were
-/// not confirmed: a peer may have recorded one of them before the replica stopped.
+/// The counter is incremented only after a boot that the peers confirmed, so an outdated copy of the
+/// data folder can't reach a counter that is new to them by restarting repeatedly. The nonce
+/// distinguishes two boots with the same counter. `attempts` lists the earlier boots that
+/// were not confirmed, since a peer may have recorded one of them before the replica stopped.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Boot {
-    /// Number of confirmed starts, plus one.
+    /// Number of confirmed boots before this one, plus one.
     pub counter: u64,
-    /// Random number of this start.
+    /// Random number that identifies this boot.
     pub nonce: u64,
-    /// Random numbers of the unconfirmed starts with this counter.
+    /// Nonces of the earlier, unconfirmed boots with this counter.
     pub attempts: Vec<u64>,
-    /// Whether a quorum has confirmed this start.
+    /// Whether enough peers have confirmed this boot.
     pub confirmed: bool,
 }
 
-/// The latest start of a peer that this replica knows.
+/// The latest known boot of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerBoot {
-    /// Counter of the start.
+    /// Counter of the boot.
     pub counter: u64,
-    /// Random number of the start.
+    /// Nonce of the boot.
     pub nonce: u64,
 }
 
-/// Term, vote and boots of a replica.
+/// Term, vote and boots of a replica, which must be synced before it acts on them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Latest term seen.
+    /// Latest known term.
     pub term: Term,
-    /// Candidate that got this replica's vote in the term.
+    /// Candidate that received this replica's vote in `term`.
     pub vote: Option<ReplicaId>,
-    /// This start.
+    /// The current boot.
     pub boot: Boot,
-    /// A peer has seen a later start of this folder: the folder is an old copy and never counts.
+    /// Whether a peer knows a later boot of this data folder. The folder is then an outdated copy,
+    /// and the replica never counts towards the quorum.
     pub superseded: bool,
-    /// Latest start of each peer.
+    /// Latest known boot of each peer.
     pub peers: BTreeMap<ReplicaId, PeerBoot>,
 }
 
 impl HardState {
-    /// The state for a new start, to be synced before the replica runs.
+    /// Returns the state for a new boot, to be synced before the replica runs.
     #[must_use]
     pub fn begin_boot(mut self, nonce: u64) -> Self {
         if self.boot.confirmed || self.boot.counter == 0 {
@@ -69,7 +70,7 @@
             return self;
         }
         self.boot.attempts.push(self.boot.nonce);
-        if self.boot.attempts.len() > MAX_ATTEMPTS {
+        if self.boot.attempts.len() > MAX_BOOT_ATTEMPTS {
             self.boot.attempts.remove(0);
         }
         self.boot.nonce = nonce;
@@ -78,7 +79,7 @@
 }
 
 impl Boot {
-    /// Whether a peer that has `known` on record can accept this start as new.
+    /// Whether a peer whose latest record of this replica is `known` can accept this boot as new.
     pub fn is_new_to(&self, known: Option<PeerBoot>) -> bool {
         let Some(known) = known else { return true };
         if self.counter != known.counter {
--- a/crates/auburnbridge_log/src/ids.rs
+++ b/crates/auburnbridge_log/src/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers and ids of the log.
+//! Identifiers and counters of the log.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,7 +6,7 @@
 use auburnbridge_types::ParseError;
 use serde::{Deserialize, Serialize};
 
-/// Random id of a data folder; a replaced folder has another one.
+/// Random id of a data folder. A new folder on the same VM has another id.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId(pub u128);
 
@@ -36,7 +36,7 @@
     }
 }
 
-macro_rules! number {
+macro_rules! numeric_newtype {
     ($(#[$doc:meta])* $type:ident, $expected:literal) => {
         $(#[$doc])*
         #[derive(
@@ -45,13 +45,13 @@
         pub struct $type(pub u64);
 
         impl $type {
-            /// The number after this one.
+            /// Returns the next number.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0 + 1)
             }
 
-            /// The number before this one, or zero.
+            /// Returns the previous number, saturating at zero.
             #[must_use]
             pub const fn previous(self) -> Self {
                 Self(self.0.saturating_sub(1))
@@ -76,18 +76,18 @@
     };
 }
 
-number!(
+numeric_newtype!(
     /// Number of an election; a term has at most one leader.
     Term,
     "a term number"
 );
-number!(
+numeric_newtype!(
     /// Position of a record in the log; the first record has index 1.
     LogIndex,
     "a log index"
 );
-number!(
-    /// Handle by which the runtime recognises its own proposal or read.
+numeric_newtype!(
+    /// Handle chosen by the caller to match a reply to its proposal, read or member change.
     Token,
     "a token number"
 );
--- a/crates/auburnbridge_log/src/input.rs
+++ b/crates/auburnbridge_log/src/input.rs
@@ -9,54 +9,56 @@
 /// One input of [`Replica::step`](crate::Replica::step).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Time has passed; expected at least once per heartbeat interval, better every 10 ms to 25 ms.
+    /// Time has passed. Expected at least once per heartbeat interval, preferably every 10 ms to
+    /// 25 ms.
     Tick,
-    /// A message arrived from a VM, whose name the transport has verified.
+    /// A message arrived from a VM whose name the transport has authenticated.
     Message {
         /// The sending VM.
         from: VmId,
         /// The message.
         message: Message,
     },
-    /// A command for the state machines.
+    /// Proposes a command for the state machines.
     Propose {
         /// Handle for the reply.
         token: Token,
         /// Encoded command.
         data: Arc<[u8]>,
     },
-    /// A linearizable read.
+    /// Requests a linearizable read.
     Read {
         /// Handle for the reply.
         token: Token,
     },
-    /// A write that was asked for by [`Output::Persist`](crate::Output::Persist) is synced.
+    /// A write requested by [`Output::Persist`](crate::Output::Persist) is synced.
     Persisted {
-        /// Number of the write.
+        /// Sequence number of the write.
         sequence: u64,
     },
-    /// A change of one member.
+    /// Requests a change of one member.
     ChangeMembers {
         /// Handle for the reply.
         token: Token,
         /// The change.
         change: MemberChange,
     },
-    /// The state machines' state at `index`, in reply to
+    /// Encoded state of the state machines at `index`, in reply to
     /// [`Output::SnapshotWanted`](crate::Output::SnapshotWanted).
     SnapshotTaken {
-        /// Last applied record that the state includes.
+        /// Index of the last applied record that the state includes.
         index: LogIndex,
         /// Encoded state.
         data: Arc<[u8]>,
     },
-    /// The process is about to stop. A leader takes no more requests, and once a voter has its whole
-    /// log, asks it to stand for election; without success within an election timeout it goes on.
+    /// The process is about to stop. A leader rejects new requests and transfers leadership to a
+    /// voter that has the whole log. If that fails within an election timeout, it accepts requests
+    /// again.
     Resign,
-    /// First member list of a new group; ignored by a replica that is already in a group or not in
-    /// the list. Each listed replica gets the same list.
+    /// Sets the first member list of a new group; every listed replica must get the same list.
+    /// Ignored by a replica that already belongs to a group or is not a voter in the list.
     Bootstrap {
-        /// The list.
+        /// The member list.
         members: Members,
     },
 }
@@ -64,9 +66,9 @@
 /// A change of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberChange {
-    /// Adds a learner; the role in `Member` is ignored.
+    /// Adds a learner; the `role` of the member is ignored.
     AddLearner(Member),
-    /// Makes a caught-up learner a voter.
+    /// Promotes a learner that has caught up to a voter.
     Promote(ReplicaId),
     /// Removes a voter or learner.
     Remove(ReplicaId),
--- a/crates/auburnbridge_log/src/lib.rs
+++ b/crates/auburnbridge_log/src/lib.rs
@@ -1,15 +1,15 @@
-//! The replicated log as a pure state machine.
+//! A replicated log, implemented as a deterministic state machine.
 //!
 //! [`Replica::step`] takes one input (a tick, a message, a proposal, the completion of a write) and
 //! returns outputs (messages to send, state to write, records to apply). It performs no I/O, reads
-//! no clock and draws randomness from a seed, so that a schedule of inputs always has the same
-//! result.
+//! no clock and draws randomness from a seed, so the same sequence of inputs always produces the
+//! same outputs.
 //!
-//! The protocol is Raft with pre-vote, a leader that steps down without a quorum, group commit,
-//! snapshots, learners and changes of one member at a time. Two rules are added against disks that
-//! lose their memory: a folder has a random [`ReplicaId`], so that an empty one is no member, and a
-//! restarted replica votes and counts only after its peers have confirmed that its boot is new to
-//! them (see [`Boot`]).
+//! The protocol is Raft with pre-vote, check-quorum, group commit, snapshots, learners, leadership
+//! transfer and single-server membership changes. Two rules protect against disks that lose data.
+//! Each data folder has a random [`ReplicaId`], so an empty folder is not a member. A restarted
+//! replica votes and counts towards the quorum only after its peers have confirmed that its boot is
+//! new to them (see [`Boot`]).
 
 mod config;
 mod hard_state;
@@ -29,8 +29,8 @@
 pub use input::{Input, MemberChange};
 pub use member::{MAX_MEMBERS, Member, MemberRole, Members};
 pub use message::{
-    Body, DecodeError, MAX_APPEND_RECORDS, MAX_MESSAGE_BYTES, MESSAGE_VERSION, Message, Round,
-    SNAPSHOT_CHUNK_BYTES,
+    Body, DecodeError, HeartbeatRound, MAX_APPEND_RECORDS, MAX_MESSAGE_BYTES, MESSAGE_VERSION,
+    Message, SNAPSHOT_CHUNK_BYTES,
 };
 pub use output::{Output, Persist, RejectReason};
 pub use record::{MAX_DATA_BYTES, Payload, Record};
--- a/crates/auburnbridge_log/src/member.rs
+++ b/crates/auburnbridge_log/src/member.rs
@@ -1,4 +1,4 @@
-//! Members of the group.
+//! Members of the replication group.
 
 use auburnbridge_types::VmId;
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 
 use crate::ReplicaId;
 
-/// Bound on the member list in records, messages and snapshots.
+/// Maximum length of a member list in records, messages and snapshots.
 pub const MAX_MEMBERS: usize = 16;
 
 /// Whether a member counts towards the quorum.
@@ -25,36 +25,37 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum MemberRole {
-    /// Votes and counts.
+    /// Votes and counts towards the quorum.
     Voter,
-    /// Receives the log without voting or counting.
+    /// Receives the log, but neither votes nor counts towards the quorum.
     Learner,
 }
 
-/// One replica of the group.
+/// A replica in the group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// The data folder.
+    /// Id of the data folder.
     pub replica: ReplicaId,
-    /// The VM that holds the folder.
+    /// VM that holds the data folder.
     pub vm: VmId,
-    /// Whether the member counts.
+    /// Whether the member votes.
     pub role: MemberRole,
 }
 
-/// The member list at some point of the log, ordered by replica id.
+/// Member list at some index of the log, ordered by replica id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Members(Vec<Member>);
 
 impl Members {
-    /// Orders `members`; `None` if a replica appears twice or the list is too long.
+    /// Creates a list ordered by replica id. Returns `None` if a replica appears twice or the list
+    /// is longer than [`MAX_MEMBERS`].
     pub fn new(mut members: Vec<Member>) -> Option<Self> {
         members.sort_by_key(|member| member.replica);
         let members = Self(members);
         members.is_valid().then_some(members)
     }
 
-    /// Whether the list is bounded, ordered and without duplicates.
+    /// Whether the list is at most [`MAX_MEMBERS`] long, ordered and free of duplicates.
     pub fn is_valid(&self) -> bool {
         self.0.len() <= MAX_MEMBERS
             && self
@@ -63,40 +64,40 @@
                 .all(|pair| pair[0].replica < pair[1].replica)
     }
 
-    /// All members.
+    /// Returns all members.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.0.iter()
     }
 
-    /// The members that vote and count.
+    /// Returns the members that vote.
     pub fn voters(&self) -> impl Iterator<Item = &Member> {
         self.0
             .iter()
             .filter(|member| member.role == MemberRole::Voter)
     }
 
-    /// The member with this replica id.
+    /// Returns the member with this replica id.
     pub fn get(&self, replica: ReplicaId) -> Option<&Member> {
         self.0.iter().find(|member| member.replica == replica)
     }
 
-    /// Whether `replica` votes and counts.
+    /// Whether `replica` is a voter.
     pub fn is_voter(&self, replica: ReplicaId) -> bool {
         self.get(replica)
             .is_some_and(|member| member.role == MemberRole::Voter)
     }
 
-    /// Whether the list is empty, as in a folder that has joined no group.
+    /// Whether the list is empty, as for a replica that has not joined a group.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Number of voters that make a majority.
+    /// Number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// Number of other voters that make a majority among themselves.
+    /// Number of voters that form a majority of all voters other than `replica`.
     pub(crate) fn majority_of_others(&self, replica: ReplicaId) -> usize {
         let others = self
             .voters()
@@ -105,6 +106,7 @@
         if others == 0 { 0 } else { others / 2 + 1 }
     }
 
+    /// Returns the list with `member` added or replaced, or `None` if it would be too long.
     pub(crate) fn with(&self, member: Member) -> Option<Self> {
         let mut members = self.0.clone();
         members.retain(|other| other.replica != member.replica);
--- a/crates/auburnbridge_log/src/message.rs
+++ b/crates/auburnbridge_log/src/message.rs
@@ -7,33 +7,34 @@
 use serde::{Deserialize, Serialize};
 use strum::IntoStaticStr;
 
-use crate::hard_state::MAX_ATTEMPTS;
+use crate::hard_state::MAX_BOOT_ATTEMPTS;
 use crate::{LogIndex, MAX_DATA_BYTES, MAX_SNAPSHOT_BYTES, Record, ReplicaId, SnapshotMeta, Term};
 
 /// Version of the message format.
 pub const MESSAGE_VERSION: u8 = 1;
 
-/// Bound on the records of one append message.
+/// Maximum number of records in an append message.
 pub const MAX_APPEND_RECORDS: usize = 1024;
 
-/// Bytes of one chunk of a snapshot.
+/// Maximum size of a snapshot chunk.
 pub const SNAPSHOT_CHUNK_BYTES: usize = 256 * 1024;
 
-/// Bound on an encoded message: one record of the largest size and a full batch of headers.
+/// Maximum size of an encoded message, which leaves room for one record of the maximum size and the
+/// headers of a full batch.
 pub const MAX_MESSAGE_BYTES: usize = 2 * MAX_DATA_BYTES;
 
-/// A message between two replicas.
+/// Message between two replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Version of the format.
+    /// Version of the message format.
     pub version: u8,
     /// The sender.
     pub from: ReplicaId,
-    /// The receiver; another replica on the same VM drops the message.
+    /// The receiver. Another replica on the same VM drops the message.
     pub to: ReplicaId,
     /// The sender's term.
     pub term: Term,
-    /// Content.
+    /// Content of the message.
     pub body: Body,
 }
 
@@ -41,123 +42,123 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Body {
-    /// Would the receiver vote for the sender in the term after the sender's?
+    /// Asks whether the receiver would vote for the sender in the term after `Message::term`.
     PreVote {
-        /// Last record of the sender.
+        /// Index of the sender's last record.
         last_index: LogIndex,
         /// Term of that record.
         last_term: Term,
     },
-    /// Answer to `PreVote`.
+    /// Reply to `PreVote`.
     PreVoteReply {
-        /// The term that was asked about.
+        /// Term of the election that the sender would start.
         next_term: Term,
         /// Whether the receiver would vote for the sender.
         granted: bool,
     },
-    /// The sender asks for a vote in its term.
+    /// Requests a vote in the sender's term.
     Vote {
-        /// Last record of the sender.
+        /// Index of the sender's last record.
         last_index: LogIndex,
         /// Term of that record.
         last_term: Term,
-        /// The leader has asked the sender to take over, so that contact with it is no reason to
-        /// refuse.
+        /// Whether the leader requested this election to transfer leadership. The receiver may then
+        /// grant the vote even if it has recently heard from the leader.
         handover: bool,
     },
-    /// The leader asks the receiver, which has its whole log, to take over.
+    /// Asks a voter that has the whole log of the leader to start an election at once.
     Campaign,
-    /// Answer to `Vote`.
+    /// Reply to `Vote`.
     VoteReply {
-        /// Whether the sender got the vote.
+        /// Whether the candidate receives the vote.
         granted: bool,
     },
-    /// Records, or none as a heartbeat.
+    /// Appends records; without records, it is a heartbeat.
     Append {
-        /// Record before the first one sent.
+        /// Index of the record before `records`.
         prev_index: LogIndex,
         /// Term of that record.
         prev_term: Term,
         /// The records.
         records: Vec<Record>,
-        /// Last record that the leader knows to be committed.
+        /// Commit index of the leader.
         commit: LogIndex,
         /// Number and time of the leader's heartbeat round, echoed in the reply.
-        round: Round,
+        round: HeartbeatRound,
     },
-    /// Answer to `Append`, and to the last chunk of a snapshot.
+    /// Reply to `Append`, and to the last chunk of a snapshot.
     AppendReply {
-        /// The records up to here are synced and equal the leader's; `None` if the receiver lacks
-        /// the record before the first one sent.
+        /// Last index up to which the sender's records are synced and match the leader's; `None`
+        /// if the sender's log does not contain the record at `prev_index`.
         matched: Option<LogIndex>,
-        /// Last record that the receiver may share with the leader.
+        /// Highest index at which the sender's log may match the leader's.
         hint: LogIndex,
         /// Whether the sender's boot is confirmed, so that it counts towards the quorum.
         counts: bool,
         /// Echo of the round.
-        round: Round,
+        round: HeartbeatRound,
     },
-    /// Part of a snapshot.
+    /// Transfers a part of a snapshot.
     SnapshotChunk {
-        /// The point of the log.
+        /// Position of the snapshot in the log.
         meta: SnapshotMeta,
-        /// Bytes in the whole snapshot.
+        /// Size of the whole snapshot in bytes.
         total: u64,
-        /// Position of the chunk.
+        /// Offset of the chunk in bytes.
         offset: u64,
-        /// The bytes.
+        /// Data of the chunk.
         data: Arc<[u8]>,
         /// Number and time of the leader's heartbeat round, echoed in the reply.
-        round: Round,
+        round: HeartbeatRound,
     },
-    /// Answer to `SnapshotChunk`.
+    /// Reply to `SnapshotChunk`.
     SnapshotReply {
-        /// Last record of the snapshot.
+        /// Index of the last record in the snapshot.
         index: LogIndex,
-        /// Bytes that the receiver holds.
+        /// Number of bytes that the sender of the reply has received.
         received: u64,
-        /// Whether the sender's boot is confirmed.
+        /// Whether the sender's boot is confirmed, so that it counts towards the quorum.
         counts: bool,
         /// Echo of the round.
-        round: Round,
+        round: HeartbeatRound,
     },
-    /// Is this start of the sender new to the receiver?
+    /// Asks the receiver to confirm that this boot of the sender is new to it.
     BootCheck {
-        /// Counter of the start.
+        /// Counter of the boot.
         counter: u64,
-        /// Random number of the start.
+        /// Nonce of the boot.
         nonce: u64,
-        /// Random numbers of the unconfirmed starts with this counter.
+        /// Nonces of the earlier, unconfirmed boots with this counter.
         attempts: Vec<u64>,
     },
-    /// Answer to `BootCheck`.
+    /// Reply to `BootCheck`.
     BootReply {
         /// Echo of the counter.
         counter: u64,
-        /// Echo of the random number.
+        /// Echo of the nonce.
         nonce: u64,
-        /// Whether the start was new, and is now recorded.
+        /// Whether the boot was new to the receiver, which has recorded it.
         accepted: bool,
     },
 }
 
 /// Heartbeat round of a leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Round {
-    /// Number of the round in the term.
+pub struct HeartbeatRound {
+    /// Number of the round within the term.
     pub number: u64,
-    /// Leader's time at which the message was sent.
+    /// Time at which the message was sent, by the leader's clock.
     pub sent: Timestamp,
 }
 
-/// Reason why bytes are not a message.
+/// Error in decoding a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// The message has a newer format.
+    /// The message has an unsupported format version.
     Version(u8),
-    /// The bytes are longer than [`MAX_MESSAGE_BYTES`].
+    /// The message is longer than [`MAX_MESSAGE_BYTES`]; holds its length in bytes.
     TooLong(usize),
-    /// A field is malformed or exceeds its bound.
+    /// A field is malformed or exceeds its limit.
     Malformed,
 }
 
@@ -166,13 +167,13 @@
         match self {
             Self::Version(version) => write!(
                 f,
-                "log message has format version {version}, this program reads {MESSAGE_VERSION}"
+                "unsupported log message version {version}, expected {MESSAGE_VERSION}"
             ),
             Self::TooLong(bytes) => write!(
                 f,
-                "log message of {bytes} bytes is over the limit of {MAX_MESSAGE_BYTES}"
+                "log message of {bytes} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes"
             ),
-            Self::Malformed => f.write_str("log message is malformed"),
+            Self::Malformed => f.write_str("malformed log message"),
         }
     }
 }
@@ -185,7 +186,11 @@
         postcard::to_stdvec(self).expect("all fields of a message can be encoded")
     }
 
-    /// Decodes a message and checks its version and bounds.
+    /// Decodes a message and checks its version and limits.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the message is too long, has another version or is malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(DecodeError::TooLong(bytes.len()));
@@ -202,7 +207,11 @@
         }
     }
 
-    /// Checks version and bounds, for a message that was decoded as part of another one.
+    /// Checks version and limits of a message that was decoded as part of another one.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the message has another version or a field exceeds its limit.
     pub fn validate(&self) -> Result<(), DecodeError> {
         if self.version != MESSAGE_VERSION {
             return Err(DecodeError::Version(self.version));
@@ -243,7 +252,7 @@
                     && *total <= MAX_SNAPSHOT_BYTES as u64
                     && end <= *total
             }
-            Self::BootCheck { attempts, .. } => attempts.len() <= MAX_ATTEMPTS,
+            Self::BootCheck { attempts, .. } => attempts.len() <= MAX_BOOT_ATTEMPTS,
             Self::PreVote { .. }
             | Self::PreVoteReply { .. }
             | Self::Vote { .. }
--- a/crates/auburnbridge_log/src/output.rs
+++ b/crates/auburnbridge_log/src/output.rs
@@ -10,90 +10,90 @@
 /// One output of [`Replica::step`](crate::Replica::step), to be handled in the given order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message; losing it is harmless.
+    /// Send a message. The protocol tolerates its loss.
     Send {
         /// The receiving VM.
         to: VmId,
         /// The message.
         message: Message,
     },
-    /// Write and sync, then answer with [`Input::Persisted`](crate::Input::Persisted). At most one
-    /// write is open at a time.
+    /// Write and sync, then reply with [`Input::Persisted`](crate::Input::Persisted). At most one
+    /// write is in flight at a time.
     Persist(Persist),
     /// Apply a committed command to the state machines.
     Apply {
-        /// Position of the record.
+        /// Index of the record.
         index: LogIndex,
         /// Log time of the record.
         time: Timestamp,
         /// Encoded command.
         data: Arc<[u8]>,
-        /// Handle of the proposal, if it was made here.
+        /// Handle of the proposal, if it was made at this replica.
         token: Option<Token>,
     },
     /// A member list is committed.
     MembersCommitted {
-        /// Position of the record.
+        /// Index of the record.
         index: LogIndex,
-        /// The list.
+        /// The member list.
         members: Members,
-        /// Handle of the change, if it was asked for here.
+        /// Handle of the change, if it was requested at this replica.
         token: Option<Token>,
     },
-    /// A proposal, read or change of members is refused.
+    /// A proposal, read or member change is rejected, or its outcome is unknown.
     Reject {
         /// Handle of the request.
         token: Token,
-        /// The reason.
+        /// Reason of the rejection.
         reason: RejectReason,
     },
-    /// Everything that was accepted before the read is applied; answer it from the state machines.
+    /// All commands accepted before the read are applied; serve it from the state machines.
     ReadReady {
         /// Handle of the read.
         token: Token,
-        /// Last applied record.
+        /// Index of the last applied record.
         index: LogIndex,
     },
     /// Replace the state of the state machines.
     InstallSnapshot {
-        /// The point of the log.
+        /// Position of the snapshot in the log.
         meta: SnapshotMeta,
         /// Encoded state.
         data: Arc<[u8]>,
     },
     /// Encode the state of the state machines, which have applied exactly the records up to
-    /// `index`, and answer with [`Input::SnapshotTaken`](crate::Input::SnapshotTaken).
+    /// `index`, and reply with [`Input::SnapshotTaken`](crate::Input::SnapshotTaken).
     SnapshotWanted {
-        /// Last applied record.
+        /// Index of the last applied record.
         index: LogIndex,
     },
-    /// The replica leads the group.
+    /// The replica became the leader of the group.
     BecameLeader {
-        /// Its term.
+        /// The new leader's term.
         term: Term,
     },
-    /// The replica no longer leads the group.
+    /// The replica is no longer the leader of the group.
     SteppedDown {
-        /// The term it led.
+        /// The term in which it was the leader.
         term: Term,
     },
-    /// The peers have confirmed this start; the replica votes and counts from now on.
+    /// The peers have confirmed this boot; the replica now votes and counts towards the quorum.
     BootConfirmed,
-    /// A peer has seen a later start of this folder: it is an old copy and must be replaced by an
-    /// empty one.
+    /// A peer knows a later boot of this data folder. The folder is an outdated copy and must be
+    /// replaced by an empty one.
     FolderSuperseded,
 }
 
 /// State to write and sync, in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Persist {
-    /// Number of the write.
+    /// Sequence number of the write.
     pub sequence: u64,
     /// New term, vote and boots.
     pub hard_state: Option<HardState>,
-    /// New snapshot; records up to its index may be dropped.
+    /// New snapshot; records up to its index may be removed.
     pub snapshot: Option<Snapshot>,
-    /// Records from this index on are dropped.
+    /// Index from which on existing records are removed.
     pub truncate_from: Option<LogIndex>,
     /// Records to append.
     pub records: Vec<Record>,
@@ -103,22 +103,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RejectReason {
-    /// The replica doesn't lead; the request has no effect.
+    /// The replica is not the leader; the request has no effect.
     NotLeader {
-        /// The VM of the leader that this replica knows.
+        /// VM of the leader, if this replica knows it.
         leader: Option<VmId>,
     },
-    /// The replica stopped leading; a proposal may still be committed.
+    /// The replica lost leadership; a proposal may still be committed.
     LeadershipLost,
-    /// Too many records are uncommitted; the request has no effect.
+    /// Too many records or reads are pending, or the leader is transferring leadership; the request
+    /// has no effect.
     Busy,
-    /// The data is too long; the request has no effect.
+    /// The data exceeds [`MAX_DATA_BYTES`](crate::MAX_DATA_BYTES); the request has no effect.
     TooLarge,
-    /// Another change of members is uncommitted, or the term has no committed record yet.
+    /// Another member change is uncommitted, or the term has no committed record yet.
     ChangeInProgress,
-    /// The learner is unknown, lags too far, or its boot is unconfirmed.
+    /// The learner lags too far behind, or its boot is unconfirmed.
     NotCaughtUp,
-    /// The change makes no sense: a member that is already there or not there, a list that is too
-    /// long or without voters.
+    /// The change is invalid: the member to add exists, the member to promote or remove does not,
+    /// the member to promote is a voter, or the new list would be too long or without voters.
     InvalidChange,
 }
--- a/crates/auburnbridge_log/src/record.rs
+++ b/crates/auburnbridge_log/src/record.rs
@@ -7,36 +7,36 @@
 
 use crate::{LogIndex, Members, Term};
 
-/// Bound on the data of one record. The whole rules text is one record; 86,000 routes at about 100
-/// bytes are half of this.
+/// Maximum size of the data of a record. The whole rules text is one record; 86,000 routes of about
+/// 100 bytes each take half of this size.
 pub const MAX_DATA_BYTES: usize = 16 * 1024 * 1024;
 
-/// One record of the log.
+/// A record of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Position in the log.
+    /// Index in the log.
     pub index: LogIndex,
     /// Term of the leader that appended the record.
     pub term: Term,
-    /// Log time: the leader's clock, never earlier than that of the record before.
+    /// Log time: the leader's clock, but never earlier than the previous record's time.
     pub time: Timestamp,
-    /// Content.
+    /// Content of the record.
     pub payload: Payload,
 }
 
 /// Content of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Opens a term, so that the leader can commit the records of earlier terms.
+    /// First record of a term, which lets the leader commit the records of earlier terms.
     Noop,
-    /// Command of the state machines above.
+    /// Encoded command of the state machines.
     Data(Arc<[u8]>),
-    /// Member list, in force as soon as the record is in the log.
+    /// Member list, which takes effect as soon as the record is in the log.
     Members(Members),
 }
 
 impl Payload {
-    /// Number of bytes that count towards the limits on batches.
+    /// Size in bytes that counts towards the limit on an append message.
     pub fn size(&self) -> usize {
         match self {
             Self::Data(data) => data.len(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether the content is within its bounds.
+    /// Whether the content is within its limits.
     pub fn is_valid(&self) -> bool {
         match self {
             Self::Noop => true,
--- a/crates/auburnbridge_log/src/record_log.rs
+++ b/crates/auburnbridge_log/src/record_log.rs
@@ -1,4 +1,4 @@
-//! The records that a replica holds in memory, with the member lists among them.
+//! The part of the log that a replica keeps in memory, and the member lists in it.
 
 use std::collections::VecDeque;
 
@@ -6,19 +6,19 @@
 
 use crate::{LogIndex, Members, Payload, Record, SnapshotMeta, Term};
 
-/// Records after a base point, without gaps.
+/// Contiguous records after the base, which is the last record that was compacted.
 #[derive(Clone, Debug)]
 pub(crate) struct RecordLog {
     base_index: LogIndex,
     base_term: Term,
     base_time: Timestamp,
     records: VecDeque<Record>,
-    /// Member lists in the log, ordered by index; the first one is in force at the base point.
+    /// Member lists in the log, ordered by index; the first one is in effect at the base.
     members: Vec<(LogIndex, Members)>,
 }
 
 impl RecordLog {
-    /// A log that starts after `meta`, or an empty one.
+    /// Creates an empty log whose base is the snapshot, or index zero without one.
     pub(crate) fn new(meta: Option<&SnapshotMeta>) -> Self {
         let (index, term, time, members) = meta.map_or_else(Default::default, |meta| {
             (meta.index, meta.term, meta.time, meta.members.clone())
@@ -61,7 +61,7 @@
         self.records.get(self.position(index)?)
     }
 
-    /// Term of the record, also at the base point; `None` outside of the log.
+    /// Returns the term of the record at `index`, which may be the base; `None` outside of the log.
     pub(crate) fn term(&self, index: LogIndex) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -76,13 +76,13 @@
         self.get(index).map(|record| record.time)
     }
 
-    /// Records from `from` on.
+    /// Returns the records from `from` on.
     pub(crate) fn iter_from(&self, from: LogIndex) -> impl Iterator<Item = &Record> {
         let start = self.position(from).unwrap_or(0).min(self.records.len());
         self.records.range(start..)
     }
 
-    /// Appends the record that follows the last one.
+    /// Appends a record, whose index must follow the last one.
     pub(crate) fn push(&mut self, record: Record) {
         debug_assert_eq!(record.index, self.last_index().next());
         if let Payload::Members(members) = &record.payload {
@@ -91,7 +91,7 @@
         self.records.push_back(record);
     }
 
-    /// Drops the records from `from` on.
+    /// Removes the records from `from` on.
     pub(crate) fn truncate_from(&mut self, from: LogIndex) {
         let Some(position) = self.position(from) else {
             return;
@@ -100,7 +100,7 @@
         self.members.retain(|(index, _)| *index < from);
     }
 
-    /// Drops the records up to `through`, which stay covered by a snapshot.
+    /// Removes the records up to `through`, which a snapshot covers, and makes it the new base.
     pub(crate) fn compact(&mut self, through: LogIndex) {
         let (Some(position), Some(term), Some(time)) = (
             self.position(through),
@@ -120,22 +120,22 @@
         self.members.drain(..first_kept);
     }
 
-    /// The latest member list and its index.
+    /// Returns the latest member list and its index.
     pub(crate) fn members(&self) -> (LogIndex, &Members) {
         let (index, members) = self
             .members
             .last()
-            .expect("a log always has a member list, if only an empty one");
+            .expect("a log always has a member list, which may be empty");
         (*index, members)
     }
 
-    /// The member list in force at `index`.
+    /// Returns the member list in effect at `index`.
     pub(crate) fn members_at(&self, index: LogIndex) -> &Members {
         let after = self.members.partition_point(|(at, _)| *at <= index);
         &self.members[after.saturating_sub(1)].1
     }
 
-    /// The member list in force at `index` and all later ones.
+    /// Returns the member list in effect at `index` and all later ones.
     pub(crate) fn members_from(&self, index: LogIndex) -> impl Iterator<Item = &Members> {
         let after = self.members.partition_point(|(at, _)| *at <= index);
         self.members[after.saturating_sub(1)..]
@@ -143,7 +143,8 @@
             .map(|(_, members)| members)
     }
 
-    /// First index of the run of records with the term of the record at `index`.
+    /// Returns the first index of the contiguous records that have the same term as the one at
+    /// `index`.
     pub(crate) fn first_of_term(&self, index: LogIndex) -> LogIndex {
         let term = self.term(index);
         let mut first = index;
--- a/crates/auburnbridge_log/src/replica/boot.rs
+++ b/crates/auburnbridge_log/src/replica/boot.rs
@@ -1,13 +1,13 @@
-//! The boot check: a restarted replica votes and counts only after its peers have confirmed that
-//! its start is new to them. Otherwise a restored copy of the folder could forget a vote or a
-//! record that the group relies on.
+//! Boot check: a restarted replica votes and counts towards the quorum only after its peers have
+//! confirmed that its boot is new to them. Without the check, a replica restored from an outdated
+//! copy of its data folder could lack a vote or a record that the group relies on.
 //!
-//! A start is confirmed by a majority of the other voters, of which any two share a replica, so that
-//! an old copy meets one that knows a later start. With one of three voters lost for good, the
-//! others could never restart under this rule. After [`GRACE_TIMEOUTS`] a start is therefore
-//! confirmed by a quorum that includes the replica itself. An old copy then passes only if each
-//! peer that answers was out of its reach for all of the later start; a single refusal at any time
-//! is final.
+//! A boot is confirmed by a majority of the other voters. Any two such majorities share a replica,
+//! so an outdated copy reaches a peer that knows the later boot. Under this rule alone, if one of
+//! three voters is lost permanently, the other two could never restart. After
+//! [`GRACE_ELECTION_TIMEOUTS`], a boot is therefore confirmed by a quorum that includes the replica
+//! itself. An outdated copy then passes only if every peer that replies was unreachable during the
+//! whole later boot. A single rejection at any time is final.
 
 use std::collections::BTreeSet;
 
@@ -17,18 +17,18 @@
 use crate::hard_state::MAX_PEERS;
 use crate::{Body, Boot, Output, PeerBoot, ReplicaId};
 
-/// Election timeouts for which a start waits for a majority of the other voters.
-const GRACE_TIMEOUTS: u64 = 10;
+/// Time for which a boot waits for a majority of the other voters, in election timeouts.
+const GRACE_ELECTION_TIMEOUTS: u64 = 10;
 
-/// Election timeouts between two announcements to members that have not answered, once a quorum
-/// has.
-const ANNOUNCE_TIMEOUTS: u64 = 10;
+/// Interval at which a confirmed boot is announced to members that have not replied, in election
+/// timeouts.
+const ANNOUNCE_ELECTION_TIMEOUTS: u64 = 10;
 
 #[derive(Clone, Debug)]
 pub(super) struct BootState {
     accepted_by: BTreeSet<ReplicaId>,
     next_check: Timestamp,
-    started: Timestamp,
+    started_at: Timestamp,
 }
 
 impl BootState {
@@ -36,35 +36,39 @@
         Self {
             accepted_by: BTreeSet::new(),
             next_check: now,
-            started: now,
+            started_at: now,
         }
     }
 }
 
 impl Replica {
-    /// Whether this replica votes, stands for election and counts towards the quorum.
-    pub(super) fn counts(&self) -> bool {
-        self.hard.boot.confirmed && !self.hard.superseded
+    /// Whether this replica may vote, become a candidate and count towards the quorum.
+    pub(super) fn counts_in_quorum(&self) -> bool {
+        self.hard_state.boot.confirmed && !self.hard_state.superseded
     }
 
-    /// Asks the members that have not recorded this start.
-    pub(super) fn check_boot(&mut self) {
-        self.confirm_boot_by_quorum();
-        if self.now < self.boot.next_check || self.hard.superseded {
+    /// Confirms the boot if possible, and sends a check to the members that have not accepted it.
+    pub(super) fn advance_boot_check(&mut self) {
+        self.confirm_boot_if_accepted();
+        if self.now < self.boot.next_check || self.hard_state.superseded {
             return;
         }
-        let timeouts = if self.counts() { ANNOUNCE_TIMEOUTS } else { 1 };
+        let timeouts = if self.counts_in_quorum() {
+            ANNOUNCE_ELECTION_TIMEOUTS
+        } else {
+            1
+        };
         let interval = Millis(self.config.election_timeout.0 * timeouts);
         self.boot.next_check = self.now.after(interval);
-        let boot = self.hard.boot.clone();
-        let unasked: Vec<_> = self
+        let boot = self.hard_state.boot.clone();
+        let not_accepted: Vec<_> = self
             .members()
             .iter()
             .filter(|member| member.replica != self.id)
             .filter(|member| !self.boot.accepted_by.contains(&member.replica))
             .map(|member| (member.vm.clone(), member.replica))
             .collect();
-        for (vm, replica) in unasked {
+        for (vm, replica) in not_accepted {
             let body = Body::BootCheck {
                 counter: boot.counter,
                 nonce: boot.nonce,
@@ -74,8 +78,8 @@
         }
     }
 
-    /// Confirms the boot if enough of the present members have accepted it.
-    fn confirm_boot_by_quorum(&mut self) {
+    /// Confirms the boot if enough of the current voters have accepted it.
+    fn confirm_boot_if_accepted(&mut self) {
         let members = self.members();
         if members.is_empty() {
             return;
@@ -84,26 +88,27 @@
             .voters()
             .filter(|member| self.boot.accepted_by.contains(&member.replica))
             .count();
-        let grace = Millis(self.config.election_timeout.0 * GRACE_TIMEOUTS);
-        let needed = if self.now < self.boot.started.after(grace) {
+        let grace = Millis(self.config.election_timeout.0 * GRACE_ELECTION_TIMEOUTS);
+        let required = if self.now < self.boot.started_at.after(grace) {
             members.majority_of_others(self.id)
         } else {
             members.quorum() - 1
         };
-        let enough = accepted >= needed;
-        // The process that creates a folder knows that it is no copy.
-        let first = self.hard.boot.counter == 1 && self.hard.boot.attempts.is_empty();
-        if enough || first {
+        let enough = accepted >= required;
+        // The process that created the data folder knows that it is not a copy.
+        let is_first_boot =
+            self.hard_state.boot.counter == 1 && self.hard_state.boot.attempts.is_empty();
+        if enough || is_first_boot {
             self.confirm_boot();
         }
     }
 
     fn confirm_boot(&mut self) {
-        if self.hard.boot.confirmed || self.hard.superseded {
+        if self.hard_state.boot.confirmed || self.hard_state.superseded {
             return;
         }
-        self.hard.boot.confirmed = true;
-        self.writer.mark_hard_state();
+        self.hard_state.boot.confirmed = true;
+        self.writes.mark_hard_state_dirty();
         self.outputs.push(Output::BootConfirmed);
     }
 
@@ -115,10 +120,10 @@
         nonce: u64,
         attempts: Vec<u64>,
     ) {
-        if self.hard.superseded || !self.make_room_for_peer(sender) {
+        if self.hard_state.superseded || !self.reserve_peer_slot(sender) {
             return;
         }
-        let known = self.hard.peers.get(&sender).copied();
+        let known = self.hard_state.peers.get(&sender).copied();
         let boot = Boot {
             counter,
             nonce,
@@ -128,20 +133,21 @@
         let accepted = boot.is_new_to(known);
         let peer = PeerBoot { counter, nonce };
         if accepted && known != Some(peer) {
-            self.hard.peers.insert(sender, peer);
-            self.writer.mark_hard_state();
+            self.hard_state.peers.insert(sender, peer);
+            self.writes.mark_hard_state_dirty();
         }
         let reply = Body::BootReply {
             counter,
             nonce,
             accepted,
         };
-        self.send_synced(from.clone(), sender, reply);
+        self.send_after_sync(from.clone(), sender, reply);
     }
 
-    /// Makes sure that the table of peers has a place for `sender`; members displace others.
-    fn make_room_for_peer(&mut self, sender: ReplicaId) -> bool {
-        let peers = &self.hard.peers;
+    /// Ensures that the boot table can hold `sender`, evicting a non-member for a member if it is
+    /// full. Returns whether it can.
+    fn reserve_peer_slot(&mut self, sender: ReplicaId) -> bool {
+        let peers = &self.hard_state.peers;
         if peers.contains_key(&sender) || peers.len() < MAX_PEERS {
             return true;
         }
@@ -149,14 +155,14 @@
             return false;
         }
         let members = self.members();
-        let stranger = peers
+        let non_member = peers
             .keys()
             .copied()
             .find(|peer| members.get(*peer).is_none());
-        if let Some(stranger) = stranger {
-            self.hard.peers.remove(&stranger);
+        if let Some(non_member) = non_member {
+            self.hard_state.peers.remove(&non_member);
         }
-        stranger.is_some()
+        non_member.is_some()
     }
 
     pub(super) fn handle_boot_reply(
@@ -166,17 +172,17 @@
         nonce: u64,
         accepted: bool,
     ) {
-        let boot = &self.hard.boot;
-        if (counter, nonce) != (boot.counter, boot.nonce) || self.hard.superseded {
+        let boot = &self.hard_state.boot;
+        if (counter, nonce) != (boot.counter, boot.nonce) || self.hard_state.superseded {
             return;
         }
         if accepted {
             self.boot.accepted_by.insert(sender);
-            return self.confirm_boot_by_quorum();
+            return self.confirm_boot_if_accepted();
         }
-        self.hard.superseded = true;
-        self.writer.mark_hard_state();
+        self.hard_state.superseded = true;
+        self.writes.mark_hard_state_dirty();
         self.outputs.push(Output::FolderSuperseded);
-        self.become_follower(self.hard.term);
+        self.become_follower(self.hard_state.term);
     }
 }
--- a/crates/auburnbridge_log/src/replica/election.rs
+++ b/crates/auburnbridge_log/src/replica/election.rs
@@ -1,16 +1,16 @@
-//! Pre-votes and votes.
+//! Elections: pre-votes and votes.
 
 use std::collections::BTreeSet;
 
 use auburnbridge_types::VmId;
 
-use super::persistence::Held;
+use super::persistence::DeferredAction;
 use super::{Replica, Role};
 use crate::{Body, LogIndex, ReplicaId, Term};
 
 impl Replica {
-    /// Whether a leader was heard within the shortest election timeout.
-    pub(super) fn follows_live_leader(&self) -> bool {
+    /// Whether this replica leads or has heard from a leader within the minimum election timeout.
+    pub(super) fn has_live_leader(&self) -> bool {
         self.is_leader()
             || self
                 .leader_contact
@@ -30,10 +30,10 @@
         granted >= members.quorum()
     }
 
-    /// Asks whether an election could be won, without disturbing the group with a new term.
+    /// Checks whether an election could be won, without disrupting the group with a new term.
     pub(super) fn start_pre_vote(&mut self) {
         self.reset_election_deadline();
-        if !self.counts() || !self.may_stand() {
+        if !self.counts_in_quorum() || !self.may_campaign() {
             return;
         }
         self.leader = None;
@@ -47,23 +47,23 @@
                 last_index: self.log.last_index(),
                 last_term: self.log.last_term(),
             };
-            self.send_synced(vm, replica, body);
+            self.send_after_sync(vm, replica, body);
         }
     }
 
-    /// Whether the replica is a voter, or was one before an uncommitted change. A leader that
-    /// removes itself may be the only one with the record of that change, which then no other
-    /// replica could be elected to commit.
-    pub(super) fn may_stand(&self) -> bool {
+    /// Whether the replica is a voter, or was one before an uncommitted change. A leader that removes
+    /// itself may be the only replica with the record of that change. No other replica could then be
+    /// elected to commit it.
+    pub(super) fn may_campaign(&self) -> bool {
         self.log
             .members_from(self.commit)
             .any(|members| members.is_voter(self.id))
     }
 
     pub(super) fn start_election(&mut self, handover: bool) {
-        self.hard.term = self.hard.term.next();
-        self.hard.vote = Some(self.id);
-        self.writer.mark_hard_state();
+        self.hard_state.term = self.hard_state.term.next();
+        self.hard_state.vote = Some(self.id);
+        self.writes.mark_hard_state_dirty();
         self.role = Role::Candidate(BTreeSet::new());
         self.reset_election_deadline();
         for (vm, replica) in self.other_voters() {
@@ -72,9 +72,9 @@
                 last_term: self.log.last_term(),
                 handover,
             };
-            self.send_synced(vm, replica, body);
+            self.send_after_sync(vm, replica, body);
         }
-        self.hold(Held::OwnVote(self.hard.term));
+        self.run_after_sync(DeferredAction::CountOwnVote(self.hard_state.term));
     }
 
     fn other_voters(&self) -> Vec<(VmId, ReplicaId)> {
@@ -94,11 +94,11 @@
         last_term: Term,
     ) {
         let next_term = term.next();
-        let granted = self.counts()
-            && next_term > self.hard.term
-            && !self.follows_live_leader()
+        let granted = self.counts_in_quorum()
+            && next_term > self.hard_state.term
+            && !self.has_live_leader()
             && self.is_up_to_date(last_index, last_term);
-        self.send_synced(
+        self.send_after_sync(
             from.clone(),
             sender,
             Body::PreVoteReply { next_term, granted },
@@ -106,7 +106,7 @@
     }
 
     pub(super) fn handle_pre_vote_reply(&mut self, sender: ReplicaId, next_term: Term) {
-        let expected = self.hard.term.next();
+        let expected = self.hard_state.term.next();
         let Role::PreCandidate(votes) = &mut self.role else {
             return;
         };
@@ -127,16 +127,17 @@
         last_index: LogIndex,
         last_term: Term,
     ) {
-        let free = self.hard.vote.is_none_or(|vote| vote == sender);
-        let granted = self.counts() && free && self.is_up_to_date(last_index, last_term);
-        if granted && self.hard.vote.is_none() {
-            self.hard.vote = Some(sender);
-            self.writer.mark_hard_state();
+        let vote_available = self.hard_state.vote.is_none_or(|vote| vote == sender);
+        let granted =
+            self.counts_in_quorum() && vote_available && self.is_up_to_date(last_index, last_term);
+        if granted && self.hard_state.vote.is_none() {
+            self.hard_state.vote = Some(sender);
+            self.writes.mark_hard_state_dirty();
         }
         if granted {
             self.reset_election_deadline();
         }
-        self.send_synced(from.clone(), sender, Body::VoteReply { granted });
+        self.send_after_sync(from.clone(), sender, Body::VoteReply { granted });
     }
 
     pub(super) fn handle_vote_reply(&mut self, sender: ReplicaId, granted: bool) {
@@ -146,7 +147,7 @@
     }
 
     pub(super) fn count_own_vote(&mut self, term: Term) {
-        if term == self.hard.term {
+        if term == self.hard_state.term {
             self.count_vote(self.id);
         }
     }
--- a/crates/auburnbridge_log/src/replica/follower.rs
+++ b/crates/auburnbridge_log/src/replica/follower.rs
@@ -1,14 +1,14 @@
-//! Records that arrive from the leader.
+//! Follower: handling of records from the leader.
 
 use auburnbridge_types::VmId;
 
 use super::{Replica, Role};
-use crate::message::Round;
+use crate::message::HeartbeatRound;
 use crate::{Body, LogIndex, Payload, Record, ReplicaId, Term};
 
 impl Replica {
-    /// Notes a message of the leader of the current term.
-    pub(super) fn hear_leader(&mut self, from: &VmId, sender: ReplicaId) {
+    /// Records a message from the leader of the current term and resets the election timeout.
+    pub(super) fn record_leader_contact(&mut self, from: &VmId, sender: ReplicaId) {
         debug_assert!(!self.is_leader(), "a term has at most one leader");
         self.role = Role::Follower;
         self.leader = Some((sender, from.clone()));
@@ -23,7 +23,7 @@
         (prev_index, prev_term): (LogIndex, Term),
         records: Vec<Record>,
         commit: LogIndex,
-        round: Round,
+        round: HeartbeatRound,
     ) {
         let end = LogIndex(prev_index.0 + records.len() as u64);
         let is_heartbeat = records.is_empty();
@@ -33,7 +33,7 @@
             self.commit = self.commit.max(commit.min(end));
             let shared = end.max(self.commit);
             Some(if is_heartbeat {
-                shared.min(self.writer.synced())
+                shared.min(self.writes.synced())
             } else {
                 shared
             })
@@ -43,18 +43,20 @@
         let reply = Body::AppendReply {
             matched,
             hint: hint.unwrap_or(end),
-            counts: self.counts(),
+            counts: self.counts_in_quorum(),
             round,
         };
         if is_heartbeat {
-            return self.send_with_hard_state(from.clone(), sender, reply);
+            return self.send_after_hard_state_sync(from.clone(), sender, reply);
         }
-        self.send_synced(from.clone(), sender, reply);
+        self.send_after_sync(from.clone(), sender, reply);
     }
 
-    /// Where the leader should look for the last shared record; `None` if that is `prev_index`.
+    /// Returns the highest index at which the log may match the leader's; `None` if it matches up to
+    /// `prev_index`.
     fn shared_prefix_hint(&self, prev_index: LogIndex, prev_term: Term) -> Option<LogIndex> {
-        // Committed records are the same everywhere, and those before the base are gone.
+        // Committed records are the same on all replicas, and those before the base are no longer
+        // in memory.
         if prev_index <= self.commit || self.log.term(prev_index) == Some(prev_term) {
             return None;
         }
@@ -65,7 +67,7 @@
         Some(conflict.previous().max(self.commit))
     }
 
-    /// Appends the records that the log lacks, and replaces those that differ.
+    /// Appends missing records and replaces conflicting ones.
     fn store_records(&mut self, records: Vec<Record>) {
         for record in records {
             let index = record.index;
@@ -81,10 +83,10 @@
 
     fn truncate_from(&mut self, index: LogIndex) {
         self.log.truncate_from(index);
-        self.writer.mark_truncated(index);
+        self.writes.mark_truncated(index);
     }
 
-    /// Adds the record that follows the last one.
+    /// Appends a record after the last one and returns its index.
     pub(super) fn push_record(&mut self, term: Term, payload: Payload) -> LogIndex {
         let index = self.log.last_index().next();
         let time = self.log.last_time().max(self.clock);
--- a/crates/auburnbridge_log/src/replica/leader.rs
+++ b/crates/auburnbridge_log/src/replica/leader.rs
@@ -1,4 +1,4 @@
-//! The leader: proposals, replication, commit, and the check that a quorum still answers.
+//! Leader: proposals, replication, commit, and the check that a quorum still replies.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,55 +7,56 @@
 
 use super::reads::PendingRead;
 use super::{Replica, Role};
-use crate::message::Round;
+use crate::message::HeartbeatRound;
 use crate::{
     Body, LogIndex, MAX_APPEND_RECORDS, MAX_DATA_BYTES, Members, Output, Payload, RejectReason,
     ReplicaId, Term, Token,
 };
 
-/// Records that a follower may lag behind what was sent to it.
-const WINDOW_RECORDS: u64 = 4 * MAX_APPEND_RECORDS as u64;
+/// Maximum number of records sent to a follower that it has not acknowledged.
+const MAX_IN_FLIGHT_RECORDS: u64 = 4 * MAX_APPEND_RECORDS as u64;
 
 /// State of a leader in one term.
 #[derive(Clone, Debug)]
 pub(super) struct Leader {
     pub(super) term: Term,
-    /// First record of the term.
+    /// Index of the first record of the term.
     pub(super) first_index: LogIndex,
     pub(super) progress: BTreeMap<ReplicaId, Progress>,
     pub(super) reads: Vec<PendingRead>,
     pub(super) round: u64,
-    /// End of the attempt to hand over; requests are refused until then.
-    pub(super) handover_until: Option<Timestamp>,
-    /// A voter was asked to take over. That request may arrive late, so no lease holds any more.
-    pub(super) has_handed_over: bool,
+    /// Deadline of a leadership transfer, until which requests are rejected.
+    pub(super) transfer_deadline: Option<Timestamp>,
+    /// Whether a voter was asked to take over. The request may arrive late, so this leader holds no
+    /// lease for the rest of its term.
+    pub(super) transfer_requested: bool,
     tokens: BTreeMap<LogIndex, Token>,
-    since: Timestamp,
+    elected_at: Timestamp,
     next_heartbeat: Timestamp,
 }
 
-/// What the leader knows about another member.
+/// Replication progress of another member.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
-    /// The member has synced the records up to here.
+    /// Index of the last record that the member has synced and that matches the leader's.
     pub(super) matched: LogIndex,
-    /// First record to send.
+    /// Index of the next record to send.
     pub(super) next: LogIndex,
-    pub(super) flow: Flow,
-    /// Latest round that the member answered.
-    pub(super) answered: Round,
-    /// Whether the member's boot was confirmed in its latest answer.
-    pub(super) counts: bool,
+    pub(super) mode: ReplicationMode,
+    /// Latest round that the member acknowledged.
+    pub(super) acked_round: HeartbeatRound,
+    /// Whether the member counted towards the quorum according to its latest reply.
+    pub(super) counts_in_quorum: bool,
 }
 
 /// How records are sent to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Flow {
-    /// One message per heartbeat until the shared prefix is found.
+pub(super) enum ReplicationMode {
+    /// Sends one message per heartbeat until the matching prefix is found.
     Probe,
-    /// A stream of messages.
+    /// Sends records without waiting for replies, up to [`MAX_IN_FLIGHT_RECORDS`].
     Stream,
-    /// Chunks of the snapshot up to `index`, of which the member holds `received` bytes.
+    /// Sends chunks of the snapshot at `index`, of which the member has received `received` bytes.
     Snapshot { index: LogIndex, received: u64 },
 }
 
@@ -64,24 +65,25 @@
         Self {
             matched: LogIndex(0),
             next,
-            flow: Flow::Probe,
-            answered: Round::default(),
-            counts: false,
+            mode: ReplicationMode::Probe,
+            acked_round: HeartbeatRound::default(),
+            counts_in_quorum: false,
         }
     }
 
-    /// Notes an answer; one from a replica that doesn't count proves nothing.
-    pub(super) fn note_answer(&mut self, counts: bool, round: Round) {
-        self.counts = counts;
-        if counts && round.number > self.answered.number {
-            self.answered = round;
+    /// Records a reply. One from a replica that doesn't count towards the quorum acknowledges
+    /// nothing.
+    pub(super) fn record_reply(&mut self, counts_in_quorum: bool, round: HeartbeatRound) {
+        self.counts_in_quorum = counts_in_quorum;
+        if counts_in_quorum && round.number > self.acked_round.number {
+            self.acked_round = round;
         }
     }
 }
 
 impl Leader {
-    /// Handles of all requests without an answer.
-    pub(super) fn open_tokens(&self) -> impl Iterator<Item = Token> {
+    /// Returns the handles of all pending requests.
+    pub(super) fn pending_tokens(&self) -> impl Iterator<Item = Token> {
         let reads = self.reads.iter().map(|read| read.token);
         self.tokens.values().copied().chain(reads)
     }
@@ -96,7 +98,7 @@
     }
 
     pub(super) fn become_leader(&mut self) {
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         let first_index = self.push_record(term, Payload::Noop);
         self.role = Role::Leader(Box::new(Leader {
             term,
@@ -104,10 +106,10 @@
             progress: BTreeMap::new(),
             reads: Vec::new(),
             round: 0,
-            handover_until: None,
-            has_handed_over: false,
+            transfer_deadline: None,
+            transfer_requested: false,
             tokens: BTreeMap::new(),
-            since: self.now,
+            elected_at: self.now,
             next_heartbeat: self.now,
         }));
         self.leader = Some((self.id, self.vm.clone()));
@@ -116,7 +118,7 @@
         self.send_heartbeats_when_due();
     }
 
-    /// Makes the progress table fit the member list; new members are sent records from `next` on.
+    /// Updates the progress table to the member list; new members are sent records from `next` on.
     pub(super) fn update_progress(&mut self, next: LogIndex) {
         let id = self.id;
         let members = self.members().clone();
@@ -146,14 +148,14 @@
         if !self.is_leader() {
             return self.reject_not_leader(token);
         }
-        if self.is_handing_over() {
+        if self.is_transferring_leadership() {
             return self.reject(token, RejectReason::Busy);
         }
         let uncommitted = self.log.last_index().0 - self.commit.0;
-        if uncommitted >= self.config.pending_records {
+        if uncommitted >= self.config.max_pending_records {
             return self.reject(token, RejectReason::Busy);
         }
-        let index = self.push_record(self.hard.term, payload);
+        let index = self.push_record(self.hard_state.term, payload);
         if let Some(leader) = self.leader_state() {
             leader.tokens.insert(index, token);
         }
@@ -163,7 +165,7 @@
         self.leader_state()?.tokens.remove(&index)
     }
 
-    /// Sends a heartbeat to each member and starts the next one's interval.
+    /// Starts a round: sends a heartbeat to each member and schedules the next one.
     pub(super) fn send_heartbeats(&mut self) {
         let next_heartbeat = self.now.after(self.config.heartbeat_interval);
         let Some(leader) = self.leader_state() else {
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Sends new records to the members that follow the stream.
+    /// Sends new records to the members in stream mode.
     pub(super) fn replicate(&mut self) {
         let Some(leader) = self.leader_state() else {
             return;
@@ -195,7 +197,7 @@
         let streaming: Vec<_> = leader
             .progress
             .iter()
-            .filter(|(_, progress)| progress.flow == Flow::Stream)
+            .filter(|(_, progress)| progress.mode == ReplicationMode::Stream)
             .map(|(replica, _)| *replica)
             .collect();
         for replica in streaming {
@@ -203,38 +205,42 @@
         }
     }
 
-    /// Sends a member what it lacks; `heartbeat` sends even nothing.
+    /// Sends a member the records or the snapshot that it lacks. With `heartbeat`, sends a message
+    /// even without records.
     pub(super) fn send_records(&mut self, replica: ReplicaId, heartbeat: bool) {
         let Some(vm) = self.members().get(replica).map(|member| member.vm.clone()) else {
             return;
         };
         let sent = self.now;
-        let (base, last_written) = (self.log.base_index(), self.writer.next_record().previous());
+        let (base, last_written) = (
+            self.log.base_index(),
+            self.writes.first_unwritten().previous(),
+        );
         let Some(leader) = self.leader_state() else {
             return;
         };
-        let round = Round {
+        let round = HeartbeatRound {
             number: leader.round,
             sent,
         };
         let Some(progress) = leader.progress.get(&replica) else {
             return;
         };
-        let (next, matched, flow) = (progress.next, progress.matched, progress.flow);
-        if matches!(flow, Flow::Snapshot { .. }) || next <= base {
+        let (next, matched, mode) = (progress.next, progress.matched, progress.mode);
+        if matches!(mode, ReplicationMode::Snapshot { .. }) || next <= base {
             return self.send_snapshot_chunk(vm, replica, round);
         }
         let prev_index = next.previous();
-        let window_end = LogIndex(matched.0.max(base.0) + WINDOW_RECORDS);
-        let end = match flow {
-            Flow::Stream => last_written.min(window_end),
-            Flow::Probe | Flow::Snapshot { .. } => last_written,
+        let window_end = LogIndex(matched.0.max(base.0) + MAX_IN_FLIGHT_RECORDS);
+        let end = match mode {
+            ReplicationMode::Stream => last_written.min(window_end),
+            ReplicationMode::Probe | ReplicationMode::Snapshot { .. } => last_written,
         };
         let records = self.batch(next, end);
         if records.is_empty() && !heartbeat {
             return;
         }
-        if flow == Flow::Stream {
+        if mode == ReplicationMode::Stream {
             let sent_end = LogIndex(prev_index.0 + records.len() as u64).next();
             if let Some(progress) = self.progress_mut(replica) {
                 progress.next = sent_end;
@@ -245,7 +251,7 @@
             prev_term: self
                 .log
                 .term(prev_index)
-                .expect("records from the base on are in memory"),
+                .expect("the terms of the base and of later records are in memory"),
             records,
             commit: self.commit,
             round,
@@ -257,7 +263,7 @@
         self.leader_state()?.progress.get_mut(&replica)
     }
 
-    /// Records from `next` through `end`, up to the limits of one message.
+    /// Returns the records from `next` through `end`, up to the limits of one message.
     fn batch(&self, next: LogIndex, end: LogIndex) -> Vec<crate::Record> {
         let mut bytes = 0;
         self.log
@@ -266,7 +272,7 @@
             .take_while(|record| {
                 let first = bytes == 0;
                 bytes += record.payload.size();
-                record.index <= end && (first || bytes <= self.config.append_bytes)
+                record.index <= end && (first || bytes <= self.config.max_append_bytes)
             })
             .cloned()
             .collect()
@@ -277,60 +283,61 @@
         sender: ReplicaId,
         matched: Option<LogIndex>,
         hint: LogIndex,
-        counts: bool,
-        round: Round,
+        counts_in_quorum: bool,
+        round: HeartbeatRound,
     ) {
         let base = self.log.base_index();
         let Some(progress) = self.progress_mut(sender) else {
             return;
         };
-        progress.note_answer(counts, round);
+        progress.record_reply(counts_in_quorum, round);
         let Some(matched) = matched else {
-            if !matches!(progress.flow, Flow::Snapshot { .. }) {
-                progress.flow = Flow::Probe;
+            if !matches!(progress.mode, ReplicationMode::Snapshot { .. }) {
+                progress.mode = ReplicationMode::Probe;
                 progress.next = progress.next.min(hint.next());
                 self.send_records(sender, true);
             }
             return;
         };
-        if counts {
+        if counts_in_quorum {
             progress.matched = progress.matched.max(matched);
         }
-        let resumes = match progress.flow {
-            Flow::Probe | Flow::Stream => true,
-            Flow::Snapshot { .. } => matched >= base,
+        let can_stream = match progress.mode {
+            ReplicationMode::Probe | ReplicationMode::Stream => true,
+            ReplicationMode::Snapshot { .. } => matched >= base,
         };
-        if resumes {
-            progress.flow = Flow::Stream;
+        if can_stream {
+            progress.mode = ReplicationMode::Stream;
             progress.next = progress.next.max(matched.next());
             self.send_records(sender, false);
         }
-        self.hand_over();
+        self.transfer_leadership();
     }
 
-    /// Commits what a quorum has synced, if it includes a record of this term. Counting a record of
-    /// an earlier term alone would not be safe: a later leader could still replace it.
+    /// Advances the commit index to the last record that a quorum has synced, if it is of this term.
+    /// A record of an earlier term is never committed by counting replicas alone, since a later
+    /// leader could still replace it.
     pub(super) fn advance_commit(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
         let members = self.members();
-        let agreed = quorum_value(members, |replica| {
+        let quorum_synced = quorum_value(members, |replica| {
             if replica == self.id {
-                return self.writer.synced();
+                return self.writes.synced();
             }
             leader
                 .progress
                 .get(&replica)
                 .map_or(LogIndex(0), |progress| progress.matched)
         });
-        if agreed > self.commit && agreed >= leader.first_index {
-            self.commit = agreed;
-            self.hand_over();
+        if quorum_synced > self.commit && quorum_synced >= leader.first_index {
+            self.commit = quorum_synced;
+            self.transfer_leadership();
         }
     }
 
-    /// Time at which a quorum is known to have accepted this leader.
+    /// Returns the latest time at which a quorum is known to have accepted this leader.
     pub(super) fn quorum_contact(&self, leader: &Leader) -> Timestamp {
         quorum_value(self.members(), |replica| {
             if replica == self.id {
@@ -339,30 +346,31 @@
             leader
                 .progress
                 .get(&replica)
-                .map_or(Timestamp(0), |progress| progress.answered.sent)
+                .map_or(Timestamp(0), |progress| progress.acked_round.sent)
         })
     }
 
-    /// Steps down without a quorum: links fail in one direction only, so followers may still hear
-    /// this leader while it can't commit anything.
+    /// Steps down if a quorum has not replied within an election timeout. Links may fail in one
+    /// direction only, in which case followers still receive heartbeats from a leader that can't
+    /// commit anything.
     pub(super) fn check_quorum(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        let contact = self.quorum_contact(leader).max(leader.since);
+        let contact = self.quorum_contact(leader).max(leader.elected_at);
         if self.now.since(contact) >= self.config.election_timeout {
-            self.become_follower(self.hard.term);
+            self.become_follower(self.hard_state.term);
         }
     }
 
     pub(super) fn step_down_if_removed(&mut self, committed: &Members) {
         if self.is_leader() && !committed.is_voter(self.id) {
-            self.become_follower(self.hard.term);
+            self.become_follower(self.hard_state.term);
         }
     }
 }
 
-/// The highest value that a quorum of voters has reached.
+/// Returns the highest value that a quorum of voters has reached.
 pub(super) fn quorum_value<T: Ord + Default>(
     members: &Members,
     value: impl Fn(ReplicaId) -> T,
--- a/crates/auburnbridge_log/src/replica/changes.rs
+++ b/crates/auburnbridge_log/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the member list, one member at a time.
+//! Membership changes, one member at a time.
 
 use super::{Replica, Role};
 use crate::{
@@ -6,14 +6,14 @@
     Term, Token,
 };
 
-/// Records that a learner may lag behind when it becomes a voter.
-const CAUGHT_UP_RECORDS: u64 = 64;
+/// Maximum lag at which a learner may become a voter, in records.
+const MAX_PROMOTION_LAG_RECORDS: u64 = 64;
 
 impl Replica {
-    /// Writes the first member list of a new group, as the same first record on each replica.
+    /// Writes the first member list of a new group, which is the same first record on each voter.
     pub(super) fn bootstrap(&mut self, members: Members) {
-        let fresh = self.log.last_index() == LogIndex(0) && self.hard.term == Term(0);
-        if !fresh || !members.is_valid() || !members.is_voter(self.id) {
+        let is_new_group = self.log.last_index() == LogIndex(0) && self.hard_state.term == Term(0);
+        if !is_new_group || !members.is_valid() || !members.is_voter(self.id) {
             return;
         }
         self.log.push(Record {
@@ -28,8 +28,8 @@
         let Role::Leader(leader) = &self.role else {
             return self.reject_not_leader(token);
         };
-        // Without a committed record of the term, two leaders could hold uncommitted lists whose
-        // quorums don't overlap.
+        // Without a committed record of this term, two leaders could each have an uncommitted list
+        // whose quorums don't overlap.
         let term_committed = self.commit >= leader.first_index;
         let (last_change, _) = self.log.members();
         if !term_committed || last_change > self.commit {
@@ -73,12 +73,12 @@
                 members.with(voter).ok_or(RejectReason::InvalidChange)
             }
             MemberChange::Remove(replica) => {
-                let rest = members.without(replica);
+                let remaining = members.without(replica);
                 let known = members.get(replica).is_some();
-                if !known || rest.voters().next().is_none() {
+                if !known || remaining.voters().next().is_none() {
                     return Err(RejectReason::InvalidChange);
                 }
-                Ok(rest)
+                Ok(remaining)
             }
         }
     }
@@ -87,10 +87,14 @@
         let Role::Leader(leader) = &self.role else {
             return false;
         };
-        let lag_limit = self.log.last_index().0.saturating_sub(CAUGHT_UP_RECORDS);
+        let required_index = self
+            .log
+            .last_index()
+            .0
+            .saturating_sub(MAX_PROMOTION_LAG_RECORDS);
         leader.progress.get(&replica).is_some_and(|progress| {
-            progress.counts
-                && progress.matched.0 >= lag_limit
+            progress.counts_in_quorum
+                && progress.matched.0 >= required_index
                 && progress.matched >= leader.first_index
         })
     }
--- a/crates/auburnbridge_log/src/replica/mod.rs
+++ b/crates/auburnbridge_log/src/replica/mod.rs
@@ -1,15 +1,15 @@
-//! The state machine of one replica: its state, the dispatch of inputs, and the application of
-//! committed records. Each sibling module holds one part of the protocol.
+//! State machine of a replica: its state, the dispatch of inputs and the application of committed
+//! records. Each submodule implements one part of the protocol.
 
 mod boot;
-mod changes;
 mod election;
 mod follower;
-mod handover;
 mod leader;
+mod membership;
 mod persistence;
 mod reads;
 mod snapshots;
+mod transfer;
 
 use std::collections::BTreeSet;
 
@@ -20,7 +20,7 @@
 
 use self::boot::BootState;
 use self::leader::Leader;
-use self::persistence::Writer;
+use self::persistence::WriteTracker;
 use self::snapshots::IncomingSnapshot;
 use crate::record_log::RecordLog;
 use crate::{
@@ -35,15 +35,15 @@
     vm: VmId,
     config: Config,
     rng: ChaCha8Rng,
-    /// Time for timeouts, which stands still when the clock goes back.
+    /// Monotonic time for timeouts, which does not advance when the clock goes back.
     now: Timestamp,
-    /// The clock's latest reading, for the log time.
+    /// Latest clock reading, used for log time.
     clock: Timestamp,
-    hard: HardState,
+    hard_state: HardState,
     log: RecordLog,
     snapshot: Option<Snapshot>,
-    snapshot_asked: bool,
-    incoming: Option<IncomingSnapshot>,
+    snapshot_requested: bool,
+    incoming_snapshot: Option<IncomingSnapshot>,
     commit: LogIndex,
     applied: LogIndex,
     role: Role,
@@ -51,7 +51,7 @@
     leader_contact: Option<Timestamp>,
     election_deadline: Timestamp,
     boot: BootState,
-    writer: Writer,
+    writes: WriteTracker,
     outputs: Vec<Output>,
 }
 
@@ -64,10 +64,10 @@
     Leader(Box<Leader>),
 }
 
-/// State of a replica for status pages and log lines.
+/// State of a replica for status reports and log lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// The replica.
+    /// Id of the replica.
     pub replica: ReplicaId,
     /// `follower`, `pre-candidate`, `candidate` or `leader`.
     pub role: &'static str,
@@ -75,24 +75,26 @@
     pub term: Term,
     /// VM of the leader, if one is known.
     pub leader: Option<VmId>,
-    /// When the leader was last heard; `None` before that and while this replica leads.
+    /// Time of the last message from the leader, or `None` if no leader is known. Has no meaning
+    /// while this replica leads.
     pub leader_contact: Option<Timestamp>,
-    /// Last record in memory.
+    /// Index of the last record in the log.
     pub last: LogIndex,
-    /// Last synced record.
+    /// Index of the last synced record.
     pub synced: LogIndex,
-    /// Last record known to be committed.
+    /// Index of the last record known to be committed.
     pub commit: LogIndex,
-    /// Last applied record.
+    /// Index of the last applied record.
     pub applied: LogIndex,
-    /// Whether the peers have confirmed this start.
+    /// Whether the peers have confirmed this boot.
     pub boot_confirmed: bool,
-    /// Whether the folder is known to be an old copy.
+    /// Whether the data folder is known to be an outdated copy.
     pub superseded: bool,
 }
 
 impl Replica {
-    /// Starts a replica from the state of its folder. The outputs restore the state machines.
+    /// Creates a replica from the recovered state of its data folder. The outputs restore the state
+    /// machines.
     pub fn recover(
         config: Config,
         vm: VmId,
@@ -112,17 +114,18 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             now,
             clock: now,
-            hard: recovered.hard_state,
-            writer: Writer::new(log.last_index()),
+            hard_state: recovered.hard_state,
+            writes: WriteTracker::new(log.last_index()),
             log,
             snapshot: recovered.snapshot,
-            snapshot_asked: false,
-            incoming: None,
+            snapshot_requested: false,
+            incoming_snapshot: None,
             commit: start,
             applied: start,
             role: Role::Follower,
             leader: None,
-            // A restarted replica may have promised its leader not to vote, so it waits.
+            // Before the restart, the replica may have extended its leader's lease by a reply, so it
+            // grants no vote for an election timeout.
             leader_contact: Some(now),
             election_deadline: now,
             boot: BootState::new(now),
@@ -139,8 +142,8 @@
         (replica, outputs)
     }
 
-    /// Takes one input at time `now`. A clock that goes back doesn't stop the timeouts, which go on
-    /// from its new reading.
+    /// Processes one input at time `now`. If the clock goes back, timeouts continue from its new
+    /// reading.
     pub fn step(&mut self, now: Timestamp, input: Input) -> Vec<Output> {
         self.now = self.now.after(now.since(self.clock));
         self.clock = now;
@@ -157,54 +160,54 @@
         }
         self.advance_commit();
         self.apply_committed();
-        self.answer_reads();
+        self.serve_reads();
         self.flush();
         std::mem::take(&mut self.outputs)
     }
 
-    /// Id of the data folder.
+    /// Returns the id of the data folder.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// Whether the replica leads the group, as far as it knows.
+    /// Whether the replica considers itself the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// VM of the leader, if one is known.
+    /// Returns the VM of the leader, if one is known.
     pub fn leader(&self) -> Option<&VmId> {
         self.leader.as_ref().map(|(_, vm)| vm)
     }
 
-    /// The latest member list in the log, committed or not.
+    /// Returns the latest member list in the log, which may be uncommitted.
     pub fn members(&self) -> &Members {
         self.log.members().1
     }
 
-    /// State for status pages and log lines.
+    /// Returns the state for status reports and log lines.
     pub fn status(&self) -> Status {
         Status {
             replica: self.id,
             role: (&self.role).into(),
-            term: self.hard.term,
+            term: self.hard_state.term,
             leader: self.leader().cloned(),
             leader_contact: self.leader().and(self.leader_contact),
             last: self.log.last_index(),
-            synced: self.writer.synced(),
+            synced: self.writes.synced(),
             commit: self.commit,
             applied: self.applied,
-            boot_confirmed: self.hard.boot.confirmed,
-            superseded: self.hard.superseded,
+            boot_confirmed: self.hard_state.boot.confirmed,
+            superseded: self.hard_state.superseded,
         }
     }
 
     fn tick(&mut self) {
-        self.check_boot();
+        self.advance_boot_check();
         if self.is_leader() {
             self.check_quorum();
             self.send_heartbeats_when_due();
-            self.end_handover_when_due();
+            self.cancel_expired_transfer();
         } else if self.now >= self.election_deadline {
             self.start_pre_vote();
         }
@@ -235,23 +238,23 @@
                 last_index,
                 last_term,
             } => return self.handle_pre_vote(from, sender, term, last_index, last_term),
-            // A granted pre-vote comes from a replica whose term may be older.
+            // A replica that grants a pre-vote may have an older term.
             Body::PreVoteReply {
                 next_term,
                 granted: true,
             } => return self.handle_pre_vote_reply(sender, next_term),
-            // A leader in contact with its followers is not to be disturbed, and its lease stands
-            // on the followers ignoring other candidates.
+            // Followers of a live leader ignore other candidates, so that they can't disrupt it.
+            // Leases depend on this.
             Body::Vote {
                 handover: false, ..
-            } if term > self.hard.term && self.follows_live_leader() => return,
+            } if term > self.hard_state.term && self.has_live_leader() => return,
             _ => {}
         }
-        if term > self.hard.term {
+        if term > self.hard_state.term {
             self.become_follower(term);
         }
-        if term < self.hard.term {
-            return self.answer_stale(from, sender, &body);
+        if term < self.hard_state.term {
+            return self.reply_to_stale_sender(from, sender, &body);
         }
         match body {
             Body::Vote {
@@ -268,7 +271,7 @@
                 commit,
                 round,
             } => {
-                self.hear_leader(from, sender);
+                self.record_leader_contact(from, sender);
                 self.handle_append(
                     from,
                     sender,
@@ -285,7 +288,7 @@
                 data,
                 round,
             } => {
-                self.hear_leader(from, sender);
+                self.record_leader_contact(from, sender);
                 self.handle_snapshot_chunk(from, sender, &meta, (total, offset), &data, round);
             }
             Body::AppendReply {
@@ -307,8 +310,9 @@
         }
     }
 
-    /// Tells a sender with an older term about the current one, so that a stale leader steps down.
-    fn answer_stale(&mut self, from: &VmId, sender: ReplicaId, body: &Body) {
+    /// Replies to a sender with an older term with the current one, so that a stale leader steps
+    /// down.
+    fn reply_to_stale_sender(&mut self, from: &VmId, sender: ReplicaId, body: &Body) {
         let reply = match body {
             Body::Vote { .. } => Body::VoteReply { granted: false },
             Body::Append { round, .. } | Body::SnapshotChunk { round, .. } => Body::AppendReply {
@@ -319,21 +323,21 @@
             },
             _ => return,
         };
-        self.send_synced(from.clone(), sender, reply);
+        self.send_after_sync(from.clone(), sender, reply);
     }
 
-    /// Follows in `term`, which is at least the current one.
+    /// Becomes a follower in `term`, which is at least the current one.
     fn become_follower(&mut self, term: Term) {
-        if term > self.hard.term {
-            self.hard.term = term;
-            self.hard.vote = None;
-            self.writer.mark_hard_state();
+        if term > self.hard_state.term {
+            self.hard_state.term = term;
+            self.hard_state.vote = None;
+            self.writes.mark_hard_state_dirty();
             self.leader = None;
         }
         if let Role::Leader(leader) = std::mem::replace(&mut self.role, Role::Follower) {
             self.leader = None;
             self.leader_contact = None;
-            for token in leader.open_tokens() {
+            for token in leader.pending_tokens() {
                 self.reject(token, RejectReason::LeadershipLost);
             }
             self.outputs.push(Output::SteppedDown { term: leader.term });
@@ -342,7 +346,7 @@
     }
 
     fn apply_committed(&mut self) {
-        let end = self.commit.min(self.writer.synced());
+        let end = self.commit.min(self.writes.synced());
         while self.applied < end {
             let index = self.applied.next();
             let record = self
@@ -370,7 +374,7 @@
                 }
             }
         }
-        self.ask_for_snapshot();
+        self.request_snapshot_when_due();
     }
 
     fn reset_election_deadline(&mut self) {
@@ -393,12 +397,12 @@
             version: MESSAGE_VERSION,
             from: self.id,
             to,
-            term: self.hard.term,
+            term: self.hard_state.term,
             body,
         }
     }
 
-    /// Sends a message that depends on no unsynced state.
+    /// Sends a message that does not depend on unsynced state.
     fn send(&mut self, to: VmId, replica: ReplicaId, body: Body) {
         let message = self.message(replica, body);
         self.outputs.push(Output::Send { to, message });
--- a/crates/auburnbridge_log/src/replica/persistence.rs
+++ b/crates/auburnbridge_log/src/replica/persistence.rs
@@ -1,200 +1,208 @@
-//! Writes, and the messages that wait for them.
+//! Writes, and the actions that wait for them.
 //!
-//! At most one write is open. Everything that changes meanwhile forms the next one (group commit).
+//! At most one write is in flight. All changes made in the meantime form the next write (group
+//! commit).
 
 use auburnbridge_types::VmId;
 
 use super::Replica;
 use crate::{Body, LogIndex, Message, Output, Persist, ReplicaId, Term};
 
-/// What is written, being written and still to be written.
+/// Tracks which state is synced, being written and not yet written.
 #[derive(Clone, Debug)]
-pub(super) struct Writer {
+pub(super) struct WriteTracker {
     next_sequence: u64,
-    open: Option<OpenWrite>,
+    in_flight: Option<InFlightWrite>,
     synced: LogIndex,
-    next_record: LogIndex,
+    first_unwritten: LogIndex,
     truncate_from: Option<LogIndex>,
-    hard_state: bool,
-    /// Number of the last write with a hard state.
+    hard_state_dirty: bool,
+    /// Sequence number of the last write that included the hard state.
     hard_state_sequence: u64,
-    snapshot: bool,
-    held: Vec<(u64, Held)>,
+    snapshot_dirty: bool,
+    deferred: Vec<(u64, DeferredAction)>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct OpenWrite {
+struct InFlightWrite {
     sequence: u64,
-    /// Last record of the write that is still in the log.
+    /// Index of the last record of the write that is still in the log.
     last: LogIndex,
 }
 
-/// An action that waits for a write.
+/// Action that waits for a write to be synced.
 #[derive(Clone, Debug)]
-pub(super) enum Held {
+pub(super) enum DeferredAction {
     Send { to: VmId, message: Box<Message> },
-    OwnVote(Term),
+    CountOwnVote(Term),
 }
 
-impl Writer {
+impl WriteTracker {
     pub(super) fn new(last: LogIndex) -> Self {
         Self {
             next_sequence: 1,
-            open: None,
+            in_flight: None,
             synced: last,
-            next_record: last.next(),
+            first_unwritten: last.next(),
             truncate_from: None,
-            hard_state: false,
+            hard_state_dirty: false,
             hard_state_sequence: 0,
-            snapshot: false,
-            held: Vec::new(),
+            snapshot_dirty: false,
+            deferred: Vec::new(),
         }
     }
 
-    /// Last synced record.
+    /// Returns the index of the last synced record.
     pub(super) fn synced(&self) -> LogIndex {
         self.synced
     }
 
-    /// First record that no write includes yet.
-    pub(super) fn next_record(&self) -> LogIndex {
-        self.next_record
+    /// Returns the first index that no write includes yet.
+    pub(super) fn first_unwritten(&self) -> LogIndex {
+        self.first_unwritten
     }
 
-    pub(super) fn mark_hard_state(&mut self) {
-        self.hard_state = true;
+    pub(super) fn mark_hard_state_dirty(&mut self) {
+        self.hard_state_dirty = true;
     }
 
-    pub(super) fn mark_snapshot(&mut self) {
-        self.snapshot = true;
+    pub(super) fn mark_snapshot_dirty(&mut self) {
+        self.snapshot_dirty = true;
     }
 
-    /// Notes that the records from `from` on left the log.
+    /// Records a truncation of the log from `from` on.
     pub(super) fn mark_truncated(&mut self, from: LogIndex) {
-        self.limit_synced(from.previous());
-        if from < self.next_record {
-            self.next_record = from;
+        self.lower_synced(from.previous());
+        if from < self.first_unwritten {
+            self.first_unwritten = from;
             self.truncate_from = Some(self.truncate_from.map_or(from, |other| other.min(from)));
         }
     }
 
-    /// Notes that a snapshot up to `index` replaces the whole log.
-    pub(super) fn mark_replaced(&mut self, index: LogIndex) {
-        self.limit_synced(LogIndex(0));
-        self.snapshot = true;
-        self.next_record = index.next();
+    /// Records the replacement of the whole log by a snapshot at `index`.
+    pub(super) fn mark_log_replaced(&mut self, index: LogIndex) {
+        self.lower_synced(LogIndex(0));
+        self.snapshot_dirty = true;
+        self.first_unwritten = index.next();
         self.truncate_from = Some(index.next());
     }
 
-    fn limit_synced(&mut self, last: LogIndex) {
+    fn lower_synced(&mut self, last: LogIndex) {
         self.synced = self.synced.min(last);
-        if let Some(open) = &mut self.open {
-            open.last = open.last.min(last);
+        if let Some(write) = &mut self.in_flight {
+            write.last = write.last.min(last);
         }
     }
 }
 
 impl Replica {
     fn has_unwritten_state(&self) -> bool {
-        self.writer.hard_state
-            || self.writer.snapshot
-            || self.writer.truncate_from.is_some()
-            || self.writer.next_record <= self.log.last_index()
+        self.writes.hard_state_dirty
+            || self.writes.snapshot_dirty
+            || self.writes.truncate_from.is_some()
+            || self.writes.first_unwritten <= self.log.last_index()
     }
 
-    /// Performs `action` once all present state is synced.
-    pub(super) fn hold(&mut self, action: Held) {
-        let open = self.writer.open.map(|open| open.sequence);
+    /// Performs `action` once all current state is synced.
+    pub(super) fn run_after_sync(&mut self, action: DeferredAction) {
+        let in_flight = self.writes.in_flight.map(|write| write.sequence);
         let needed = if self.has_unwritten_state() {
-            Some(self.writer.next_sequence)
+            Some(self.writes.next_sequence)
         } else {
-            open
+            in_flight
         };
         match needed {
-            Some(sequence) => self.writer.held.push((sequence, action)),
+            Some(sequence) => self.writes.deferred.push((sequence, action)),
             None => self.perform(action),
         }
     }
 
-    /// Sends a message that states something about term, vote, records or boots.
-    pub(super) fn send_synced(&mut self, to: VmId, replica: ReplicaId, body: Body) {
+    /// Sends a message that depends on the term, vote, records or boots, once they are synced.
+    pub(super) fn send_after_sync(&mut self, to: VmId, replica: ReplicaId, body: Body) {
         let message = Box::new(self.message(replica, body));
-        self.hold(Held::Send { to, message });
+        self.run_after_sync(DeferredAction::Send { to, message });
     }
 
-    /// Sends a message that states something about term, vote or boots, and about synced records
-    /// only. The answer to a heartbeat is one: it must not wait for a slow disk, or the leader would
-    /// step down while its followers write.
-    pub(super) fn send_with_hard_state(&mut self, to: VmId, replica: ReplicaId, body: Body) {
+    /// Sends a message that depends on the term, vote or boots, and on no unsynced records, once the
+    /// hard state is synced. A reply to a heartbeat must not wait for records on a slow disk, or the
+    /// leader would step down while its followers write.
+    pub(super) fn send_after_hard_state_sync(&mut self, to: VmId, replica: ReplicaId, body: Body) {
         let message = Box::new(self.message(replica, body));
-        let action = Held::Send { to, message };
-        let open = self.writer.open.map(|open| open.sequence);
-        if self.writer.hard_state {
-            self.writer.held.push((self.writer.next_sequence, action));
-        } else if open == Some(self.writer.hard_state_sequence) {
-            let sequence = self.writer.hard_state_sequence;
-            self.writer.held.push((sequence, action));
+        let action = DeferredAction::Send { to, message };
+        let in_flight = self.writes.in_flight.map(|write| write.sequence);
+        if self.writes.hard_state_dirty {
+            self.writes
+                .deferred
+                .push((self.writes.next_sequence, action));
+        } else if in_flight == Some(self.writes.hard_state_sequence) {
+            let sequence = self.writes.hard_state_sequence;
+            self.writes.deferred.push((sequence, action));
         } else {
             self.perform(action);
         }
     }
 
-    fn perform(&mut self, action: Held) {
+    fn perform(&mut self, action: DeferredAction) {
         match action {
-            Held::Send { to, message } => self.outputs.push(Output::Send {
+            DeferredAction::Send { to, message } => self.outputs.push(Output::Send {
                 to,
                 message: *message,
             }),
-            Held::OwnVote(term) => self.count_own_vote(term),
+            DeferredAction::CountOwnVote(term) => self.count_own_vote(term),
         }
     }
 
-    /// Starts the next write unless one is open.
+    /// Starts the next write unless one is in flight.
     pub(super) fn flush(&mut self) {
-        if self.writer.open.is_some() || !self.has_unwritten_state() {
+        if self.writes.in_flight.is_some() || !self.has_unwritten_state() {
             return;
         }
         let records: Vec<_> = self
             .log
-            .iter_from(self.writer.next_record)
+            .iter_from(self.writes.first_unwritten)
             .cloned()
             .collect();
-        let sequence = self.writer.next_sequence;
-        self.writer.next_sequence += 1;
-        self.writer.next_record = self.log.last_index().next();
-        self.writer.open = Some(OpenWrite {
+        let sequence = self.writes.next_sequence;
+        self.writes.next_sequence += 1;
+        self.writes.first_unwritten = self.log.last_index().next();
+        self.writes.in_flight = Some(InFlightWrite {
             sequence,
             last: self.log.last_index(),
         });
-        if self.writer.hard_state {
-            self.writer.hard_state_sequence = sequence;
+        if self.writes.hard_state_dirty {
+            self.writes.hard_state_sequence = sequence;
         }
         let persist = Persist {
             sequence,
-            hard_state: std::mem::take(&mut self.writer.hard_state).then(|| self.hard.clone()),
-            snapshot: std::mem::take(&mut self.writer.snapshot)
+            hard_state: std::mem::take(&mut self.writes.hard_state_dirty)
+                .then(|| self.hard_state.clone()),
+            snapshot: std::mem::take(&mut self.writes.snapshot_dirty)
                 .then(|| self.snapshot.clone())
                 .flatten(),
-            truncate_from: self.writer.truncate_from.take(),
+            truncate_from: self.writes.truncate_from.take(),
             records,
         };
-        // Followers write while this replica does.
+        // Sends first, so that followers write in parallel with this replica.
         self.replicate();
         self.outputs.push(Output::Persist(persist));
     }
 
     pub(super) fn persisted(&mut self, sequence: u64) {
-        let Some(open) = self.writer.open.take_if(|open| open.sequence == sequence) else {
+        let Some(write) = self
+            .writes
+            .in_flight
+            .take_if(|write| write.sequence == sequence)
+        else {
             return;
         };
-        self.writer.synced = self.writer.synced.max(open.last);
-        let held = std::mem::take(&mut self.writer.held);
-        let (released, kept) = held
+        self.writes.synced = self.writes.synced.max(write.last);
+        let deferred = std::mem::take(&mut self.writes.deferred);
+        let (ready, waiting) = deferred
             .into_iter()
             .partition(|(needed, _)| *needed <= sequence);
-        self.writer.held = kept;
-        let released: Vec<(u64, Held)> = released;
-        for (_, action) in released {
+        self.writes.deferred = waiting;
+        let ready: Vec<(u64, DeferredAction)> = ready;
+        for (_, action) in ready {
             self.perform(action);
         }
         self.compact_log();
--- a/crates/auburnbridge_log/src/replica/reads.rs
+++ b/crates/auburnbridge_log/src/replica/reads.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads: under a lease, or after a round of heartbeats (read index).
+//! Linearizable reads, under a lease or after a heartbeat round (read index).
 
 use auburnbridge_types::Millis;
 
@@ -6,23 +6,24 @@
 use super::{Replica, Role};
 use crate::{LogIndex, Output, RejectReason, Token};
 
-/// Part of the election timeout by which a lease ends early, against clocks of unequal rate.
+/// A lease ends early by the election timeout divided by this number, to tolerate clocks that run at
+/// different rates.
 const LEASE_MARGIN_DIVISOR: u64 = 10;
 
-/// A read that waits for proof that this replica still led when the read arrived.
+/// Read that waits for confirmation that this replica was still the leader when it arrived.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRead {
     pub(super) token: Token,
-    /// Round to be answered by a quorum; `None` until a round starts after the read's arrival.
+    /// Round that a quorum must acknowledge; `None` until a round starts after the read's arrival.
     round: Option<u64>,
-    /// Records up to here are applied before the answer.
+    /// Index up to which records must be applied before the read is served.
     index: LogIndex,
 }
 
 impl Replica {
     pub(super) fn read(&mut self, token: Token) {
         let commit = self.commit;
-        let limit = self.config.pending_records;
+        let limit = self.config.max_pending_records;
         let leased = self.holds_lease();
         let Some(leader) = self.leader_state() else {
             return self.reject_not_leader(token);
@@ -30,8 +31,8 @@
         if leader.reads.len() as u64 >= limit {
             return self.reject(token, RejectReason::Busy);
         }
-        // Until the first record of the term is committed, the commit index may lag behind what an
-        // earlier leader has accepted.
+        // Until the first record of the term is committed, the commit index may be lower than that
+        // of an earlier leader.
         let index = commit.max(leader.first_index);
         let round = leased.then_some(0);
         leader.reads.push(PendingRead {
@@ -48,13 +49,13 @@
         let timeout = self.config.election_timeout.0;
         let lease = Millis(timeout - timeout / LEASE_MARGIN_DIVISOR);
         self.config.lease_reads
-            && !leader.has_handed_over
+            && !leader.transfer_requested
             && self.now.since(self.quorum_contact(leader)) < lease
     }
 
-    /// Answers the reads whose round is confirmed, and starts a round for those without one. One
-    /// round is open at a time, so that many reads share it.
-    pub(super) fn answer_reads(&mut self) {
+    /// Serves the reads whose round is confirmed, and starts a round for those without one. At most
+    /// one round for reads is in flight, so that many reads share it.
+    pub(super) fn serve_reads(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
@@ -72,24 +73,24 @@
                 read.round.is_some_and(|round| round <= confirmed) && read.index <= applied
             });
         leader.reads = waiting;
-        let open_round = leader.round > confirmed
+        let round_in_flight = leader.round > confirmed
             && leader
                 .reads
                 .iter()
                 .any(|read| read.round == Some(leader.round));
-        let unasked = leader.reads.iter().any(|read| read.round.is_none());
+        let has_unassigned = leader.reads.iter().any(|read| read.round.is_none());
         for read in ready {
             self.outputs.push(Output::ReadReady {
                 token: read.token,
                 index: applied,
             });
         }
-        if unasked && !open_round {
+        if has_unassigned && !round_in_flight {
             self.start_read_round();
         }
     }
 
-    /// Latest round that a quorum has answered.
+    /// Returns the latest round that a quorum has acknowledged.
     fn confirmed_round(&self) -> u64 {
         let Role::Leader(leader) = &self.role else {
             return 0;
@@ -101,7 +102,7 @@
             leader
                 .progress
                 .get(&replica)
-                .map_or(0, |progress| progress.answered.number)
+                .map_or(0, |progress| progress.acked_round.number)
         })
     }
 
@@ -113,10 +114,10 @@
             }
         }
         self.send_heartbeats();
-        // A sole voter has its quorum at once.
-        let sole = self.members().quorum() == 1 && self.members().is_voter(self.id);
-        if sole {
-            self.answer_reads();
+        // A sole voter is its own quorum, so the round is confirmed at once.
+        let is_sole_voter = self.members().quorum() == 1 && self.members().is_voter(self.id);
+        if is_sole_voter {
+            self.serve_reads();
         }
     }
 }
--- a/crates/auburnbridge_log/src/replica/snapshots.rs
+++ b/crates/auburnbridge_log/src/replica/snapshots.rs
@@ -1,23 +1,23 @@
-//! Snapshots: taking one, dropping the records before it, and sending it to a member that lags
-//! behind the records in memory.
+//! Snapshots: requesting one, compacting the log before it, and sending it to a member that needs
+//! records that are no longer in memory.
 
 use std::sync::Arc;
 
 use auburnbridge_types::VmId;
 
 use super::Replica;
-use super::leader::Flow;
-use crate::message::Round;
+use super::leader::ReplicationMode;
+use crate::message::HeartbeatRound;
 use crate::record_log::RecordLog;
 use crate::{
     Body, LogIndex, MAX_SNAPSHOT_BYTES, Output, ReplicaId, SNAPSHOT_CHUNK_BYTES, Snapshot,
     SnapshotMeta, Term,
 };
 
-/// A snapshot that arrives in chunks.
+/// Partially received snapshot.
 #[derive(Clone, Debug)]
 pub(super) struct IncomingSnapshot {
-    /// Term of the leader that sends it; two leaders may encode a state differently.
+    /// Term of the sending leader; two leaders may encode the same state differently.
     term: Term,
     meta: SnapshotMeta,
     total: u64,
@@ -31,19 +31,19 @@
             .map_or(LogIndex(0), |snapshot| snapshot.meta.index)
     }
 
-    pub(super) fn ask_for_snapshot(&mut self) {
+    pub(super) fn request_snapshot_when_due(&mut self) {
         let records = self.applied.0 - self.snapshot_index().0;
-        if self.snapshot_asked || records < self.config.snapshot_after_records {
+        if self.snapshot_requested || records < self.config.snapshot_after_records {
             return;
         }
-        self.snapshot_asked = true;
+        self.snapshot_requested = true;
         self.outputs.push(Output::SnapshotWanted {
             index: self.applied,
         });
     }
 
     pub(super) fn snapshot_taken(&mut self, index: LogIndex, data: Arc<[u8]>) {
-        self.snapshot_asked = false;
+        self.snapshot_requested = false;
         if index > self.applied || index <= self.snapshot_index() {
             return;
         }
@@ -57,19 +57,24 @@
             members: self.log.members_at(index).clone(),
         };
         self.snapshot = Some(Snapshot { meta, data });
-        self.writer.mark_snapshot();
+        self.writes.mark_snapshot_dirty();
     }
 
-    /// Drops records that the synced snapshot covers, except some for slow followers.
+    /// Compacts the records that the synced snapshot covers, except those retained for slow followers.
     pub(super) fn compact_log(&mut self) {
         let through = self.snapshot_index().0;
         let through = through.saturating_sub(self.config.retained_records);
-        if through > self.log.base_index().0 && through <= self.writer.synced().0 {
+        if through > self.log.base_index().0 && through <= self.writes.synced().0 {
             self.log.compact(LogIndex(through));
         }
     }
 
-    pub(super) fn send_snapshot_chunk(&mut self, vm: VmId, replica: ReplicaId, round: Round) {
+    pub(super) fn send_snapshot_chunk(
+        &mut self,
+        vm: VmId,
+        replica: ReplicaId,
+        round: HeartbeatRound,
+    ) {
         let Some(snapshot) = self.snapshot.clone() else {
             return;
         };
@@ -77,11 +82,13 @@
             return;
         };
         let current = snapshot.meta.index;
-        let offset = match progress.flow {
-            Flow::Snapshot { index, received } if index == current => received,
-            Flow::Snapshot { .. } | Flow::Probe | Flow::Stream => 0,
+        let offset = match progress.mode {
+            ReplicationMode::Snapshot { index, received } if index == current => received,
+            ReplicationMode::Snapshot { .. } | ReplicationMode::Probe | ReplicationMode::Stream => {
+                0
+            }
         };
-        progress.flow = Flow::Snapshot {
+        progress.mode = ReplicationMode::Snapshot {
             index: current,
             received: offset,
         };
@@ -104,24 +111,24 @@
         sender: ReplicaId,
         index: LogIndex,
         received: u64,
-        counts: bool,
-        round: Round,
+        counts_in_quorum: bool,
+        round: HeartbeatRound,
     ) {
         let Some(progress) = self.progress_mut(sender) else {
             return;
         };
-        progress.note_answer(counts, round);
-        let Flow::Snapshot {
+        progress.record_reply(counts_in_quorum, round);
+        let ReplicationMode::Snapshot {
             index: current,
-            received: known,
-        } = &mut progress.flow
+            received: previous,
+        } = &mut progress.mode
         else {
             return;
         };
-        if *current != index || *known == received {
+        if *current != index || *previous == received {
             return;
         }
-        *known = received;
+        *previous = received;
         self.send_records(sender, true);
     }
 
@@ -132,61 +139,61 @@
         meta: &SnapshotMeta,
         (total, offset): (u64, u64),
         data: &[u8],
-        round: Round,
+        round: HeartbeatRound,
     ) {
         let index = meta.index;
         if index > self.commit {
-            let received = self.collect_chunk(meta, total, offset, data);
+            let received = self.append_chunk(meta, total, offset, data);
             if received < total {
                 let reply = Body::SnapshotReply {
                     index,
                     received,
-                    counts: self.counts(),
+                    counts: self.counts_in_quorum(),
                     round,
                 };
-                return self.send_synced(from.clone(), sender, reply);
+                return self.send_after_sync(from.clone(), sender, reply);
             }
-            self.install_incoming();
+            self.install_incoming_snapshot();
         }
         let reply = Body::AppendReply {
             matched: Some(index),
             hint: index,
-            counts: self.counts(),
+            counts: self.counts_in_quorum(),
             round,
         };
-        self.send_synced(from.clone(), sender, reply);
+        self.send_after_sync(from.clone(), sender, reply);
     }
 
-    /// Adds a chunk and returns the number of bytes held.
-    fn collect_chunk(&mut self, meta: &SnapshotMeta, total: u64, offset: u64, data: &[u8]) -> u64 {
-        let term = self.hard.term;
-        let same = self.incoming.as_ref().is_some_and(|incoming| {
+    /// Appends a chunk if it is the next one, and returns the number of bytes received so far.
+    fn append_chunk(&mut self, meta: &SnapshotMeta, total: u64, offset: u64, data: &[u8]) -> u64 {
+        let term = self.hard_state.term;
+        let is_continuation = self.incoming_snapshot.as_ref().is_some_and(|incoming| {
             incoming.term == term && incoming.meta == *meta && incoming.total == total
         });
-        if !same {
-            self.incoming = Some(IncomingSnapshot {
+        if !is_continuation {
+            self.incoming_snapshot = Some(IncomingSnapshot {
                 term,
                 meta: meta.clone(),
                 total,
                 data: Vec::new(),
             });
         }
-        let Some(incoming) = &mut self.incoming else {
+        let Some(incoming) = &mut self.incoming_snapshot else {
             return 0;
         };
-        let held = incoming.data.len() as u64;
-        if offset == held && total <= MAX_SNAPSHOT_BYTES as u64 {
+        let received = incoming.data.len() as u64;
+        if offset == received && total <= MAX_SNAPSHOT_BYTES as u64 {
             incoming.data.extend_from_slice(data);
         }
         incoming.data.len() as u64
     }
 
-    fn install_incoming(&mut self) {
-        let Some(incoming) = self.incoming.take() else {
+    fn install_incoming_snapshot(&mut self) {
+        let Some(incoming) = self.incoming_snapshot.take() else {
             return;
         };
         let meta = incoming.meta;
-        // A log that already has the record needs no new state, only the news of the commit.
+        // If the log already contains the record, only the commit index advances.
         if self.log.term(meta.index) == Some(meta.term) {
             self.commit = self.commit.max(meta.index);
             return;
@@ -195,8 +202,8 @@
         self.log = RecordLog::new(Some(&meta));
         self.commit = meta.index;
         self.applied = meta.index;
-        self.snapshot_asked = false;
-        self.writer.mark_replaced(meta.index);
+        self.snapshot_requested = false;
+        self.writes.mark_log_replaced(meta.index);
         self.snapshot = Some(Snapshot {
             meta: meta.clone(),
             data: data.clone(),
--- a/crates/auburnbridge_log/src/snapshot.rs
+++ b/crates/auburnbridge_log/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots and the recovered state of a folder.
+//! Snapshots, and the state recovered from a data folder.
 
 use std::sync::Arc;
 
@@ -7,13 +7,13 @@
 
 use crate::{HardState, LogIndex, Members, Record, ReplicaId, Term};
 
-/// Bound on a snapshot, which a replica assembles in memory.
+/// Maximum size of a snapshot, which a replica assembles in memory.
 pub const MAX_SNAPSHOT_BYTES: usize = 1024 * 1024 * 1024;
 
-/// The point of the log that a snapshot stands for.
+/// Position in the log at which a snapshot was taken.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotMeta {
-    /// Last record that the snapshot includes.
+    /// Index of the last record that the snapshot includes.
     pub index: LogIndex,
     /// Term of that record.
     pub term: Term,
@@ -23,21 +23,21 @@
     pub members: Members,
 }
 
-/// State of the state machines above at one point of the log.
+/// State of the state machines at one index of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The point of the log.
+    /// Position of the snapshot in the log.
     pub meta: SnapshotMeta,
     /// Encoded state.
     pub data: Arc<[u8]>,
 }
 
-/// What a data folder holds after a start.
+/// State recovered from a data folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Recovered {
-    /// Id of the folder.
+    /// Id of the data folder.
     pub replica: ReplicaId,
-    /// Term, vote and boots; `begin_boot` has been applied and synced.
+    /// Term, vote and boots, after [`HardState::begin_boot`] was applied and synced.
     pub hard_state: HardState,
     /// Latest snapshot.
     pub snapshot: Option<Snapshot>,
--- a/crates/auburnbridge_log/tests/network/mod.rs
+++ b/crates/auburnbridge_log/tests/network/mod.rs
@@ -516,6 +516,6 @@
         .snapshot_after_records(12)
         .retained_records(4)
         // One command per message, so that a follower may lack the record that opens the term.
-        .append_bytes(8)
+        .max_append_bytes(8)
         .build()
 }
--- a/crates/auburnbridge_log/tests/scenarios.rs
+++ b/crates/auburnbridge_log/tests/scenarios.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use auburnbridge_log::{
-    Body, Boot, Config, DecodeError, HardState, Input, LogIndex, MAX_MEMBERS, MESSAGE_VERSION,
-    Member, MemberChange, MemberRole, Members, Message, Output, Payload, PeerBoot, Record,
-    Recovered, RejectReason, Replica, ReplicaId, Round, SnapshotMeta, Status, Term, Token,
+    Body, Boot, Config, DecodeError, HardState, HeartbeatRound, Input, LogIndex, MAX_MEMBERS,
+    MESSAGE_VERSION, Member, MemberChange, MemberRole, Members, Message, Output, Payload, PeerBoot,
+    Record, Recovered, RejectReason, Replica, ReplicaId, SnapshotMeta, Status, Term, Token,
 };
 use auburnbridge_types::Timestamp;
 use network::{Network, config};
@@ -448,7 +448,7 @@
         prev_term: Term(prev_term),
         records,
         commit: LogIndex(0),
-        round: Round::default(),
+        round: HeartbeatRound::default(),
     };
     let records = vec![record(11, 2), record(12, 2)];
     let outputs = receive(replica, append(10, prev_term, records));
@@ -487,7 +487,7 @@
         total: 1,
         offset: 0,
         data: Arc::from([0].as_slice()),
-        round: Round::default(),
+        round: HeartbeatRound::default(),
     };
     receive(&mut replica, chunk);
     let synced = synced_after_append(&mut replica, 2);
@@ -639,7 +639,7 @@
                 payload: Payload::Noop,
             }],
             commit: LogIndex(0),
-            round: Round::default(),
+            round: HeartbeatRound::default(),
         })
     };
     let newer = Message {
