--- a/crates/auburnbridge_log/tests/network/mod.rs
+++ b/crates/auburnbridge_log/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A queue of messages between real replicas on in-memory stores, with the invariants of the log
-//! checked after each step.
+//! Simulated cluster of real replicas on in-memory stores, connected by a message queue. The
+//! invariants of the log are checked after each step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,44 +14,46 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Applied commands: index, log time and data.
-type State = Vec<(u64, u64, Vec<u8>)>;
+type AppliedCommands = Vec<(u64, u64, Vec<u8>)>;
 
 pub struct Node {
     pub vm: VmId,
     pub files: MemoryFiles,
     pub id: ReplicaId,
     pub process: Option<Process>,
-    /// The VMs' clocks differ, so that log time is tested against leaders with late clocks.
+    /// Clock skew of the VM in milliseconds, so that log time is tested with leaders whose clock is
+    /// behind.
     pub clock_offset: u64,
-    /// Copies of the folder taken so far, with the boot counter of each.
-    copies: Vec<(u64, MemoryFiles)>,
+    /// Copies of the data folder taken so far, each with its boot counter.
+    saved_copies: Vec<(u64, MemoryFiles)>,
     boot_counter: u64,
-    /// The folder was replaced by an older copy.
+    /// Whether the data folder was replaced by an older copy.
     pub is_restored: bool,
 }
 
 pub struct Process {
     pub replica: Replica,
     store: Store,
-    open_write: Option<Persist>,
-    state: State,
+    in_flight_write: Option<Persist>,
+    state: AppliedCommands,
 }
 
-pub struct Network {
+pub struct Cluster {
     pub nodes: Vec<Node>,
     pub now: u64,
     pub queue: Vec<(usize, usize, Message)>,
-    pub cuts: BTreeSet<(usize, usize)>,
-    /// Disks were replaced or restored, so that an accepted record may be on fewer disks.
+    pub cut_links: BTreeSet<(usize, usize)>,
+    /// Whether a disk was replaced or restored, so that an accepted record may be on fewer disks
+    /// than a quorum.
     pub has_lost_disks: bool,
     config: Config,
     pub rng: ChaCha8Rng,
     leaders: BTreeMap<Term, ReplicaId>,
-    /// Commands applied anywhere, which every replica must apply in this order.
-    pub applied: State,
+    /// Commands applied by any replica, which every replica must apply in this order.
+    pub applied: AppliedCommands,
     accepted: BTreeSet<u64>,
     reads: BTreeMap<Token, u64>,
-    pub answered_reads: usize,
+    pub served_reads: usize,
     pub rejected: usize,
     pub restored: usize,
     next_token: u64,
@@ -69,14 +71,14 @@
     }
 }
 
-impl Network {
-    /// Starts `nodes` replicas, the first `voters` of which form a group.
+impl Cluster {
+    /// Starts `nodes` replicas; the first `voters` of them form a group.
     pub fn new(nodes: usize, voters: usize, seed: u64, config: Config) -> Self {
-        let mut network = Self {
+        let mut cluster = Self {
             nodes: Vec::new(),
             now: 10_000_000,
             queue: Vec::new(),
-            cuts: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             has_lost_disks: false,
             config,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -84,36 +86,36 @@
             applied: Vec::new(),
             accepted: BTreeSet::new(),
             reads: BTreeMap::new(),
-            answered_reads: 0,
+            served_reads: 0,
             rejected: 0,
             restored: 0,
             next_token: 1,
         };
         for node in 0..nodes {
-            network.nodes.push(Node {
+            cluster.nodes.push(Node {
                 vm: vm(node),
                 files: MemoryFiles::new(),
                 id: ReplicaId(0),
                 process: None,
                 clock_offset: 5_000 * node as u64,
-                copies: Vec::new(),
+                saved_copies: Vec::new(),
                 boot_counter: 0,
                 is_restored: false,
             });
-            network.start(node);
+            cluster.start(node);
         }
-        let members = network.nodes[..voters]
+        let members = cluster.nodes[..voters]
             .iter()
             .map(|node| member(node, MemberRole::Voter))
             .collect();
         let members = Members::new(members).unwrap();
         for node in 0..voters {
             let members = members.clone();
-            network.step(node, Input::Bootstrap { members });
-            // Formation ends with the list on all disks; a group is not started by halves.
-            network.sync(node);
+            cluster.step(node, Input::Bootstrap { members });
+            // Group formation completes only once the list is on all disks.
+            cluster.sync(node);
         }
-        network
+        cluster
     }
 
     pub fn start(&mut self, node: usize) {
@@ -122,8 +124,8 @@
         }
         let rng = &mut self.rng;
         let files = Box::new(self.nodes[node].files.clone());
-        let (store, recovered) =
-            Store::open_files(files, || rng.random()).expect("a crash leaves a whole folder");
+        let (store, recovered) = Store::open_files(files, || rng.random())
+            .expect("the data folder is valid after a crash");
         self.nodes[node].id = recovered.replica;
         self.nodes[node].boot_counter = recovered.hard_state.boot.counter;
         let (replica, outputs) = Replica::recover(
@@ -136,7 +138,7 @@
         self.nodes[node].process = Some(Process {
             replica,
             store,
-            open_write: None,
+            in_flight_write: None,
             state: Vec::new(),
         });
         self.handle(node, outputs);
@@ -159,16 +161,20 @@
         for output in outputs {
             match output {
                 Output::Send { to, message } => {
-                    // Each message passes through its encoding.
-                    let message = Message::decode(&message.encode()).expect("a bounded message");
+                    // Encodes and decodes each message, as a transport does.
+                    let message =
+                        Message::decode(&message.encode()).expect("replicas send valid messages");
                     if let Some(to) = self.nodes.iter().position(|other| other.vm == to) {
                         self.queue.push((node, to, message));
                     }
                 }
                 Output::Persist(persist) => {
                     let process = self.nodes[node].process.as_mut().unwrap();
-                    assert!(process.open_write.is_none(), "two writes are open");
-                    process.open_write = Some(persist);
+                    assert!(
+                        process.in_flight_write.is_none(),
+                        "two writes are in flight"
+                    );
+                    process.in_flight_write = Some(persist);
                 }
                 Output::Apply {
                     index,
@@ -177,7 +183,7 @@
                     token,
                 } => self.apply(node, (index.0, time.0, data.to_vec()), token),
                 Output::InstallSnapshot { data, .. } => {
-                    let state: State = postcard::from_bytes(&data).unwrap();
+                    let state: AppliedCommands = postcard::from_bytes(&data).unwrap();
                     self.check_prefix(&state);
                     self.nodes[node].process.as_mut().unwrap().state = state;
                 }
@@ -190,17 +196,23 @@
                     let id = self.nodes[node].id;
                     let first = *self.leaders.entry(term).or_insert(id);
                     assert_eq!(first, id, "term {term} has two leaders");
-                    assert!(!self.nodes[node].is_restored, "an old copy leads");
+                    assert!(
+                        !self.nodes[node].is_restored,
+                        "a replica with an outdated data folder became leader"
+                    );
                 }
                 Output::ReadReady { token, index } => {
-                    let needed = self.reads.remove(&token).expect("a read is answered once");
-                    assert!(index.0 >= needed, "a read misses record {needed}");
-                    self.answered_reads += 1;
+                    let needed = self.reads.remove(&token).expect("a read is served once");
+                    assert!(
+                        index.0 >= needed,
+                        "a read at {index} misses record {needed}"
+                    );
+                    self.served_reads += 1;
                 }
                 Output::BootConfirmed => {
                     assert!(
                         !self.nodes[node].is_restored,
-                        "the boot of an old copy is confirmed"
+                        "the boot of an outdated data folder was confirmed"
                     );
                 }
                 Output::Reject { token, .. } => {
@@ -220,7 +232,7 @@
         let is_after = |last: &(u64, u64, Vec<u8>)| last.0 < command.0 && last.1 <= command.1;
         assert!(
             process.state.last().is_none_or(is_after),
-            "index or log time goes back: {command:?}"
+            "index or log time decreased: {command:?}"
         );
         process.state.push(command.clone());
         let index = command.0;
@@ -230,12 +242,12 @@
         }
         if token.is_some() {
             self.accepted.insert(index);
-            self.check_on_quorum(node, LogIndex(index));
+            self.check_record_on_quorum(node, LogIndex(index));
         }
     }
 
-    /// Applied commands are the same everywhere and never vanish.
-    fn check_prefix(&self, state: &State) {
+    /// Checks that the state of a snapshot is a prefix of the applied commands.
+    fn check_prefix(&self, state: &AppliedCommands) {
         let shared = state.len().min(self.applied.len());
         assert_eq!(
             state[..shared],
@@ -245,12 +257,12 @@
         assert_eq!(
             shared,
             state.len(),
-            "a snapshot has commands that nobody applied"
+            "a snapshot contains commands that no replica applied"
         );
     }
 
-    /// An accepted record is on the disks of a quorum.
-    fn check_on_quorum(&self, leader: usize, index: LogIndex) {
+    /// Checks that an accepted record is on the disks of a quorum.
+    fn check_record_on_quorum(&self, leader: usize, index: LogIndex) {
         if self.has_lost_disks {
             return;
         }
@@ -264,37 +276,40 @@
             .voters()
             .filter(|member| {
                 let node = self.nodes.iter().find(|node| node.id == member.replica);
-                node.is_some_and(|node| holds(node, index))
+                node.is_some_and(|node| has_record_on_disk(node, index))
             })
             .count();
         assert!(
-            holds_quorum(holders, members),
-            "record {index} is on {holders} disks"
+            is_quorum(holders, members),
+            "record {index} is on only {holders} disks"
         );
     }
 
-    /// Completes the open write of a node.
+    /// Completes the in-flight write of a node.
     pub fn sync(&mut self, node: usize) {
         let Some(process) = &mut self.nodes[node].process else {
             return;
         };
-        let Some(persist) = process.open_write.take() else {
+        let Some(persist) = process.in_flight_write.take() else {
             return;
         };
-        process.store.persist(&persist).expect("the disk works");
+        process
+            .store
+            .persist(&persist)
+            .expect("the in-memory store accepts writes");
         let sequence = persist.sequence;
         self.step(node, Input::Persisted { sequence });
     }
 
-    /// Stops a process, in the middle of its open write if it has one.
+    /// Crashes a process, in the middle of its in-flight write if it has one.
     pub fn crash(&mut self, node: usize) {
         let Some(mut process) = self.nodes[node].process.take() else {
             return;
         };
         let files = &self.nodes[node].files;
-        if let Some(persist) = process.open_write {
+        if let Some(persist) = process.in_flight_write {
             files.stop_at(files.operations() + self.rng.random_range(1..6));
-            // Fails at the chosen operation, or succeeds if the write has fewer.
+            // Fails at the chosen operation, or succeeds if the write has fewer operations.
             let _ = process.store.persist(&persist);
         }
         let rng = &mut self.rng;
@@ -303,12 +318,13 @@
 
     pub fn save_copy(&mut self, node: usize) {
         let node = &mut self.nodes[node];
-        node.copies.push((node.boot_counter, node.files.copy()));
+        node.saved_copies
+            .push((node.boot_counter, node.files.copy()));
     }
 
-    /// Whether the rules promise that an older copy of a node's folder is found out: its boot is
-    /// confirmed and known to all peers, it has peers, and no other folder is an old copy.
-    pub fn detects_copy_of(&self, node: usize) -> bool {
+    /// Whether the protocol guarantees that an older copy of the node's data folder is detected: its
+    /// boot is confirmed and known to all peers, it has peers, and no other folder is outdated.
+    pub fn detects_old_copy(&self, node: usize) -> bool {
         let counter = self.nodes[node].boot_counter;
         let is_confirmed = self.nodes[node]
             .process
@@ -323,7 +339,7 @@
             .collect();
         let is_known = !peers.is_empty() && peers.iter().all(|knows| *knows);
         let has_voting_peers = self.nodes[node]
-            .copies
+            .saved_copies
             .iter()
             .map(|(_, copy)| copy)
             .chain([&self.nodes[node].files])
@@ -334,11 +350,11 @@
             && self.nodes.iter().all(|node| !node.is_restored)
     }
 
-    /// Puts a copy of the folder from before its latest boot in its place.
+    /// Replaces the data folder by a copy from before its latest boot.
     pub fn restore_copy(&mut self, node: usize) {
         let counter = self.nodes[node].boot_counter;
         let older = self.nodes[node]
-            .copies
+            .saved_copies
             .iter()
             .find(|(boot, _)| *boot < counter);
         let Some((_, copy)) = older.cloned() else {
@@ -352,14 +368,14 @@
         self.start(node);
     }
 
-    /// Puts an empty folder in place of a node's.
+    /// Replaces the data folder of a node by an empty one.
     pub fn replace_disk(&mut self, node: usize) {
         if self.nodes.iter().any(|node| node.is_restored) {
             return;
         }
         self.crash(node);
         self.nodes[node].files = MemoryFiles::new();
-        self.nodes[node].copies.clear();
+        self.nodes[node].saved_copies.clear();
         self.nodes[node].is_restored = false;
         self.has_lost_disks = true;
         self.start(node);
@@ -396,7 +412,7 @@
         self.change(leader, MemberChange::AddLearner(learner));
     }
 
-    /// The live leader with the highest term.
+    /// Returns the running leader with the highest term.
     pub fn leader(&self) -> Option<usize> {
         let term = |node: usize| {
             let process = self.nodes[node].process.as_ref()?;
@@ -410,14 +426,14 @@
 
     pub fn deliver(&mut self, position: usize) {
         let (from, to, message) = self.queue.remove(position);
-        if self.cuts.contains(&(from, to)) {
+        if self.cut_links.contains(&(from, to)) {
             return;
         }
         let from = vm(from);
         self.step(to, Input::Message { from, message });
     }
 
-    /// Lets time pass with working disks, and with working links except for the cut ones.
+    /// Advances time by 20 ms per round, with working disks and all links working except the cut ones.
     pub fn run(&mut self, rounds: usize) {
         for _ in 0..rounds {
             self.now += 20;
@@ -435,14 +451,14 @@
         }
     }
 
-    /// Cuts all links of a node.
+    /// Cuts all links from and to a node.
     pub fn isolate(&mut self, node: usize) {
         for other in (0..self.nodes.len()).filter(|other| *other != node) {
-            self.cuts.extend([(node, other), (other, node)]);
+            self.cut_links.extend([(node, other), (other, node)]);
         }
     }
 
-    /// Runs until there is a leader and it has accepted a new command.
+    /// Runs until a leader has accepted a new command; returns whether it did within `rounds`.
     pub fn run_until_accepted(&mut self, rounds: usize) -> bool {
         let before = self.accepted.len();
         for _ in 0..rounds {
@@ -458,29 +474,29 @@
     }
 }
 
-/// What a node would recover if it crashed without luck.
-fn on_disk(files: &MemoryFiles) -> Recovered {
+/// Returns the state that a node would recover if it crashed now and lost all unsynced data.
+fn recover_from_disk(files: &MemoryFiles) -> Recovered {
     let mut number = 0;
     let random = || {
         number += 1;
         number
     };
     let files = Box::new(files.copy());
-    let (_, recovered) = Store::open_files(files, random).expect("a whole folder");
+    let (_, recovered) = Store::open_files(files, random).expect("the data folder is valid");
     recovered
 }
 
-fn holds(node: &Node, index: LogIndex) -> bool {
-    let recovered = on_disk(&node.files);
+fn has_record_on_disk(node: &Node, index: LogIndex) -> bool {
+    let recovered = recover_from_disk(&node.files);
     let in_snapshot = recovered
         .snapshot
         .is_some_and(|snapshot| snapshot.meta.index >= index);
     in_snapshot || recovered.records.iter().any(|record| record.index == index)
 }
 
-/// Number of voters in the latest member list of a folder.
+/// Returns the number of voters in the latest member list of a data folder.
 fn voters_on_disk(files: &MemoryFiles) -> usize {
-    let recovered = on_disk(files);
+    let recovered = recover_from_disk(files);
     let in_records = recovered
         .records
         .iter()
@@ -496,9 +512,9 @@
     in_records.unwrap_or_else(in_snapshot)
 }
 
-/// Whether the node has the boot of `replica` on disk; `None` if it has never been in the group.
+/// Whether the node has recorded the boot of `replica` on disk; `None` if it has no log yet.
 fn knows_boot(node: &Node, replica: ReplicaId, counter: u64) -> Option<bool> {
-    let recovered = on_disk(&node.files);
+    let recovered = recover_from_disk(&node.files);
     if recovered.snapshot.is_none() && recovered.records.is_empty() {
         return None;
     }
@@ -506,7 +522,7 @@
     Some(peer.is_some_and(|peer| peer.counter == counter))
 }
 
-fn holds_quorum(holders: usize, members: &Members) -> bool {
+fn is_quorum(holders: usize, members: &Members) -> bool {
     holders >= members.quorum()
 }
 
@@ -515,7 +531,7 @@
         .election_timeout(Millis(300))
         .snapshot_after_records(12)
         .retained_records(4)
-        // One command per message, so that a follower may lack the record that opens the term.
+        // One command per message, so that a follower may lack the first record of the term.
         .max_append_bytes(8)
         .build()
 }
--- a/crates/auburnbridge_log/tests/scenarios.rs
+++ b/crates/auburnbridge_log/tests/scenarios.rs
@@ -1,6 +1,6 @@
-//! The replicated log in chosen situations.
+//! The replicated log in specific fault scenarios.
 
-mod network;
+mod cluster;
 
 use std::sync::Arc;
 
@@ -10,397 +10,420 @@
     Record, Recovered, RejectReason, Replica, ReplicaId, SnapshotMeta, Status, Term, Token,
 };
 use auburnbridge_types::Timestamp;
-use network::{Network, config};
+use cluster::{Cluster, config};
 
-fn group(nodes: usize, voters: usize) -> Network {
-    let mut network = Network::new(nodes, voters, 1, config());
+fn cluster_with_leader(nodes: usize, voters: usize) -> Cluster {
+    let mut cluster = Cluster::new(nodes, voters, 1, config());
     assert!(
-        network.run_until_accepted(20),
+        cluster.run_until_accepted(20),
         "a new group elects a leader"
     );
-    network
+    cluster
 }
 
-fn term(network: &Network, node: usize) -> Term {
-    status(network, node).term
+fn term(cluster: &Cluster, node: usize) -> Term {
+    status(cluster, node).term
 }
 
-/// Guards against a group that a single dead VM stops.
+/// Guards against a group of three that stops when a single VM fails.
 #[test]
 fn survives_the_loss_of_any_replica() {
     for lost in 0..3 {
-        let mut network = group(3, 3);
-        network.crash(lost);
-        assert!(network.run_until_accepted(40), "without replica {lost}");
+        let mut cluster = cluster_with_leader(3, 3);
+        cluster.crash(lost);
+        assert!(
+            cluster.run_until_accepted(40),
+            "the group stopped without replica {lost}"
+        );
     }
 }
 
-/// Guards against a disk that comes back empty and votes in its predecessor's place: after the loss
-/// of a second replica, the third one alone must not form a group with it.
+/// Guards against a replica with an empty disk that votes in place of the replica it replaced: after
+/// the loss of a second replica, the third one must not form a quorum with it.
 #[test]
-fn an_empty_disk_does_not_count() {
+fn empty_disk_does_not_count_in_quorum() {
     for (replaced, lost) in [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)] {
-        let mut network = group(3, 3);
-        let before = network.applied.len();
-        network.replace_disk(replaced);
-        network.crash(lost);
+        let mut cluster = cluster_with_leader(3, 3);
+        let before = cluster.applied.len();
+        cluster.replace_disk(replaced);
+        cluster.crash(lost);
         assert!(
-            !network.run_until_accepted(40),
-            "an empty disk {replaced} and a single replica accepted a command"
+            !cluster.run_until_accepted(40),
+            "a command was accepted by an empty replica {replaced} and one other"
         );
-        network.start(lost);
+        cluster.start(lost);
         assert!(
-            network.run_until_accepted(40),
-            "two whole replicas continue"
+            cluster.run_until_accepted(40),
+            "two intact replicas continue"
         );
-        assert!(network.applied.len() > before);
+        assert!(cluster.applied.len() > before);
     }
 }
 
-/// Guards against an old copy of a folder that votes or counts, also after many starts and after
-/// the loss of a second replica.
+/// Guards against an outdated copy of a data folder that votes or counts towards the quorum, even
+/// after many restarts and after the loss of a second replica.
 #[test]
-fn an_old_copy_does_not_count() {
+fn old_folder_copy_does_not_count_in_quorum() {
     for (restored, lost) in [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)] {
-        let mut network = group(3, 3);
-        network.save_copy(restored);
-        network.crash(restored);
-        network.start(restored);
-        assert!(network.run_until_accepted(40));
-        network.run(60);
-        network.crash(lost);
-        assert!(network.detects_copy_of(restored));
-        network.restore_copy(restored);
-        assert_eq!(network.restored, 1, "the copy is in place");
-        // The leader, if it is the third replica, has yet to notice that it has no quorum.
-        let accepts = network.run_until_accepted(2);
-        assert!(!accepts, "the answer of a copy on {restored} counted");
+        let mut cluster = cluster_with_leader(3, 3);
+        cluster.save_copy(restored);
+        cluster.crash(restored);
+        cluster.start(restored);
+        assert!(cluster.run_until_accepted(40));
+        cluster.run(60);
+        cluster.crash(lost);
+        assert!(cluster.detects_old_copy(restored));
+        cluster.restore_copy(restored);
+        assert_eq!(cluster.restored, 1, "the copy is restored");
+        // If the third replica leads, it has not yet noticed that it has no quorum.
+        let accepts = cluster.run_until_accepted(2);
+        assert!(
+            !accepts,
+            "a reply of the outdated copy on {restored} counted"
+        );
         for _ in 0..12 {
-            network.crash(restored);
-            network.start(restored);
-            network.run(20);
+            cluster.crash(restored);
+            cluster.start(restored);
+            cluster.run(20);
         }
         assert!(
-            !network.run_until_accepted(20),
-            "a copy on {restored} counted"
+            !cluster.run_until_accepted(20),
+            "the outdated copy on {restored} counted after restarts"
         );
-        let process = network.nodes[restored].process.as_ref().unwrap();
+        let process = cluster.nodes[restored].process.as_ref().unwrap();
         assert!(process.replica.status().superseded);
-        network.start(lost);
+        cluster.start(lost);
         assert!(
-            network.run_until_accepted(40),
-            "two whole replicas continue"
+            cluster.run_until_accepted(40),
+            "two intact replicas continue"
         );
     }
 }
 
-/// Guards against an old copy that counts because the first peer to answer has missed its later
-/// boot: the other peer, which knows it, is waited for.
+/// Guards against an outdated copy that is confirmed because the first peer to reply has missed the
+/// later boot: the replica must wait for the other peer, which knows that boot.
 #[test]
-fn an_old_copy_waits_for_the_other_peer() {
-    let mut network = group(3, 3);
-    network.save_copy(0);
-    network.crash(0);
-    network.crash(2);
-    network.start(0);
+fn old_copy_is_not_confirmed_by_a_peer_that_missed_the_later_boot() {
+    let mut cluster = cluster_with_leader(3, 3);
+    cluster.save_copy(0);
+    cluster.crash(0);
+    cluster.crash(2);
+    cluster.start(0);
     assert!(
-        network.run_until_accepted(40),
+        cluster.run_until_accepted(40),
         "replica 1 confirms the boot"
     );
-    network.start(2);
-    network.cuts.extend([(0, 2), (1, 0)]);
-    network.restore_copy(0);
-    network.cuts.remove(&(0, 2));
-    network.run(60);
-    network.cuts.clear();
-    network.run(60);
-    let process = network.nodes[0].process.as_ref().unwrap();
+    cluster.start(2);
+    cluster.cut_links.extend([(0, 2), (1, 0)]);
+    cluster.restore_copy(0);
+    cluster.cut_links.remove(&(0, 2));
+    cluster.run(60);
+    cluster.cut_links.clear();
+    cluster.run(60);
+    let process = cluster.nodes[0].process.as_ref().unwrap();
     assert!(process.replica.status().superseded);
     assert!(
-        network.run_until_accepted(40),
-        "two whole replicas continue"
+        cluster.run_until_accepted(40),
+        "two intact replicas continue"
     );
 }
 
-/// Guards against a replaced VM that can't be brought back into the group.
+/// Guards against a lost voter that can't be replaced by a new replica.
 #[test]
 fn replaces_a_lost_voter() {
-    let mut network = group(4, 3);
-    let leader = network.leader().unwrap();
+    let mut cluster = cluster_with_leader(4, 3);
+    let leader = cluster.leader().unwrap();
     let lost = (leader + 1) % 3;
-    let lost_id = network.nodes[lost].id;
-    network.crash(lost);
-    let leader = network.leader().unwrap();
-    network.add_learner(leader, 3);
-    let learner = network.nodes[3].id;
-    network.change(leader, MemberChange::Promote(learner));
+    let lost_id = cluster.nodes[lost].id;
+    cluster.crash(lost);
+    let leader = cluster.leader().unwrap();
+    cluster.add_learner(leader, 3);
+    let learner = cluster.nodes[3].id;
+    cluster.change(leader, MemberChange::Promote(learner));
     assert_eq!(
-        network.rejected, 1,
+        cluster.rejected, 1,
         "a learner without the log is not promoted"
     );
-    network.run(30);
-    network.change(leader, MemberChange::Promote(learner));
-    network.run(30);
-    network.change(leader, MemberChange::Remove(lost_id));
-    network.run(30);
-    assert_eq!(network.rejected, 1);
-    let members = network.nodes[3].process.as_ref().unwrap().replica.members();
+    cluster.run(30);
+    cluster.change(leader, MemberChange::Promote(learner));
+    cluster.run(30);
+    cluster.change(leader, MemberChange::Remove(lost_id));
+    cluster.run(30);
+    assert_eq!(cluster.rejected, 1);
+    let members = cluster.nodes[3].process.as_ref().unwrap().replica.members();
     assert!(members.is_voter(learner) && members.get(lost_id).is_none());
-    // The new voter counts: the group survives the loss of another old one.
+    // The new voter counts towards the quorum: the group survives the loss of another old voter.
     let other = (0..3).find(|node| ![leader, lost].contains(node)).unwrap();
-    network.crash(other);
-    assert!(network.run_until_accepted(40));
+    cluster.crash(other);
+    assert!(cluster.run_until_accepted(40));
 }
 
-fn status(network: &Network, node: usize) -> Status {
-    let process = network.nodes[node].process.as_ref().unwrap();
+fn status(cluster: &Cluster, node: usize) -> Status {
+    let process = cluster.nodes[node].process.as_ref().unwrap();
     process.replica.status()
 }
 
-/// Lets time pass one message at a time until `is_done`.
-fn run_until(network: &mut Network, is_done: impl Fn(&Network) -> bool) {
+/// Advances time and delivers messages one by one until `is_done`.
+fn run_until(cluster: &mut Cluster, is_done: impl Fn(&Cluster) -> bool) {
     for _ in 0..1_000 {
-        network.now += 20;
-        for node in 0..network.nodes.len() {
-            network.step(node, Input::Tick);
-            network.sync(node);
+        cluster.now += 20;
+        for node in 0..cluster.nodes.len() {
+            cluster.step(node, Input::Tick);
+            cluster.sync(node);
         }
-        while !network.queue.is_empty() {
-            if is_done(network) {
+        while !cluster.queue.is_empty() {
+            if is_done(cluster) {
                 return;
             }
-            network.deliver(0);
-            for node in 0..network.nodes.len() {
-                network.sync(node);
+            cluster.deliver(0);
+            for node in 0..cluster.nodes.len() {
+                cluster.sync(node);
             }
         }
     }
     panic!("the expected state was not reached");
 }
 
-/// Guards against a record of an earlier term that is committed by counting its copies: a replica
+/// Guards against a record of an earlier term that is committed because a quorum has it: a replica
 /// with a record of a term in between can still be elected and replace it.
 #[test]
-fn counting_copies_commits_no_older_term() {
-    let mut network = group(3, 3);
-    let first = network.leader().unwrap();
-    network.isolate(first);
-    let start = status(&network, first).last;
+fn older_term_record_is_not_committed_by_replica_count() {
+    let mut cluster = cluster_with_leader(3, 3);
+    let first = cluster.leader().unwrap();
+    cluster.isolate(first);
+    let start = status(&cluster, first).last;
     for _ in 0..3 {
-        network.propose(first);
-        network.sync(first);
+        cluster.propose(first);
+        cluster.sync(first);
     }
-    assert_eq!(status(&network, first).synced.0, start.0 + 3);
-    network.crash(first);
-    network.queue.clear();
-    network.cuts.clear();
-    // Another replica is elected and stops with only its own first record.
-    run_until(&mut network, |network| network.leader().is_some());
-    let second = network.leader().unwrap();
-    network.queue.clear();
-    network.sync(second);
-    network.crash(second);
-    // The first leader returns, and its oldest command alone reaches the third replica.
+    assert_eq!(status(&cluster, first).synced.0, start.0 + 3);
+    cluster.crash(first);
+    cluster.queue.clear();
+    cluster.cut_links.clear();
+    // Another replica is elected, and crashes with only the first record of its term.
+    run_until(&mut cluster, |cluster| cluster.leader().is_some());
+    let second = cluster.leader().unwrap();
+    cluster.queue.clear();
+    cluster.sync(second);
+    cluster.crash(second);
+    // The first leader restarts, and only its oldest command reaches the third replica.
     let third = 3 - first - second;
-    network.start(first);
-    run_until(&mut network, |network| status(network, third).last > start);
-    network.cuts.insert((first, third));
-    network.run(5);
-    assert_eq!(status(&network, first).role, "leader");
-    assert_eq!(status(&network, third).last, start.next());
-    network.crash(first);
-    network.cuts.clear();
-    network.start(second);
-    assert!(network.run_until_accepted(60));
-    network.start(first);
-    network.run(60);
-}
-
-/// Guards against two member lists whose quorums don't overlap: one change at a time, and none
-/// before a record of the leader's term is committed.
+    cluster.start(first);
+    run_until(&mut cluster, |cluster| status(cluster, third).last > start);
+    cluster.cut_links.insert((first, third));
+    cluster.run(5);
+    assert_eq!(status(&cluster, first).role, "leader");
+    assert_eq!(status(&cluster, third).last, start.next());
+    cluster.crash(first);
+    cluster.cut_links.clear();
+    cluster.start(second);
+    assert!(cluster.run_until_accepted(60));
+    cluster.start(first);
+    cluster.run(60);
+}
+
+/// Guards against two member lists whose quorums don't overlap: only one change may be uncommitted,
+/// and none is accepted before a record of the leader's term is committed.
 #[test]
 fn changes_one_member_at_a_time() {
-    let mut network = group(5, 3);
-    network.run(10);
-    network.crash(network.leader().unwrap());
-    run_until(&mut network, |network| network.leader().is_some());
-    let leader = network.leader().unwrap();
-    network.add_learner(leader, 3);
-    assert_eq!(network.rejected, 1, "the term has no committed record");
-    assert!(network.run_until_accepted(20));
-    network.isolate(leader);
-    network.add_learner(leader, 3);
-    assert_eq!(network.rejected, 1);
-    network.add_learner(leader, 4);
-    assert_eq!(network.rejected, 2, "another change is uncommitted");
-}
-
-/// Guards against a removed leader that keeps leading or blocks the rest.
+    let mut cluster = cluster_with_leader(5, 3);
+    cluster.run(10);
+    cluster.crash(cluster.leader().unwrap());
+    run_until(&mut cluster, |cluster| cluster.leader().is_some());
+    let leader = cluster.leader().unwrap();
+    cluster.add_learner(leader, 3);
+    assert_eq!(cluster.rejected, 1, "the term has no committed record");
+    assert!(cluster.run_until_accepted(20));
+    cluster.isolate(leader);
+    cluster.add_learner(leader, 3);
+    assert_eq!(cluster.rejected, 1);
+    cluster.add_learner(leader, 4);
+    assert_eq!(cluster.rejected, 2, "another change is uncommitted");
+}
+
+/// Guards against a removed leader that keeps leading or blocks the other replicas.
 #[test]
-fn a_removed_leader_steps_down() {
-    let mut network = group(3, 3);
-    let leader = network.leader().unwrap();
-    let id = network.nodes[leader].id;
-    network.change(leader, MemberChange::Remove(id));
-    network.run(60);
-    let next = network.leader().expect("the rest elects a leader");
+fn removed_leader_steps_down() {
+    let mut cluster = cluster_with_leader(3, 3);
+    let leader = cluster.leader().unwrap();
+    let id = cluster.nodes[leader].id;
+    cluster.change(leader, MemberChange::Remove(id));
+    cluster.run(60);
+    let next = cluster
+        .leader()
+        .expect("the remaining replicas elect a leader");
     assert_ne!(next, leader);
-    assert!(network.run_until_accepted(40));
+    assert!(cluster.run_until_accepted(40));
 }
 
-/// Guards against a group that stops for good when only the leader that removes itself has the
-/// record of it (found by a random schedule).
+/// Guards against a group that never recovers when only the leader that removes itself has the
+/// record of the removal (found by a random schedule).
 #[test]
-fn recovers_from_a_removal_that_only_the_removed_has() {
-    let mut network = group(2, 2);
-    let leader = network.leader().unwrap();
-    let id = network.nodes[leader].id;
-    network.cuts.insert((leader, 1 - leader));
-    network.change(leader, MemberChange::Remove(id));
-    network.sync(leader);
-    network.queue.clear();
+fn recovers_when_only_the_removed_leader_has_the_removal_record() {
+    let mut cluster = cluster_with_leader(2, 2);
+    let leader = cluster.leader().unwrap();
+    let id = cluster.nodes[leader].id;
+    cluster.cut_links.insert((leader, 1 - leader));
+    cluster.change(leader, MemberChange::Remove(id));
+    cluster.sync(leader);
+    cluster.queue.clear();
     for node in 0..2 {
-        network.crash(node);
-        network.start(node);
+        cluster.crash(node);
+        cluster.start(node);
     }
-    network.cuts.clear();
-    assert!(network.run_until_accepted(60));
+    cluster.cut_links.clear();
+    assert!(cluster.run_until_accepted(60));
 }
 
-/// Guards against links that fail in one direction: a leader that can't hear steps down, and a
-/// replica that can't hear doesn't disturb the group.
+/// Guards against links that fail in one direction: a leader that receives no messages must step
+/// down, and a follower that receives none must not disrupt the group.
 #[test]
 fn tolerates_one_way_links() {
-    let mut network = group(3, 3);
-    let deaf = network.leader().unwrap();
-    for other in (0..3).filter(|other| *other != deaf) {
-        network.cuts.insert((other, deaf));
+    let mut cluster = cluster_with_leader(3, 3);
+    let old_leader = cluster.leader().unwrap();
+    for other in (0..3).filter(|other| *other != old_leader) {
+        cluster.cut_links.insert((other, old_leader));
     }
-    network.run(100);
-    let next = network.leader().expect("another replica leads");
-    assert_ne!(next, deaf, "a leader that hears nobody must step down");
-    assert!(network.run_until_accepted(40));
-    let before = term(&network, network.leader().unwrap());
-    network.run(300);
+    cluster.run(100);
+    let next = cluster.leader().expect("another replica leads");
+    assert_ne!(
+        next, old_leader,
+        "a leader that receives no messages must step down"
+    );
+    assert!(cluster.run_until_accepted(40));
+    let before = term(&cluster, cluster.leader().unwrap());
+    cluster.run(300);
+    assert_eq!(
+        term(&cluster, cluster.leader().unwrap()),
+        before,
+        "a replica that receives no messages must not force elections"
+    );
+    cluster.cut_links.clear();
+    cluster.run(30);
     assert_eq!(
-        term(&network, network.leader().unwrap()),
+        term(&cluster, old_leader),
         before,
-        "a replica that hears nobody must not force elections"
+        "the reconnected replica follows"
     );
-    network.cuts.clear();
-    network.run(30);
-    assert_eq!(term(&network, deaf), before, "the healed replica follows");
 }
 
 /// Guards against a planned stop that leaves the group without a leader for an election timeout, or
-/// cuts off a request that the leader has taken.
+/// that drops a request the leader has accepted.
 #[test]
-fn a_resigning_leader_hands_over() {
-    let mut network = group(3, 3);
-    network.run(10);
-    let leader = network.leader().unwrap();
-    network.propose(leader);
-    let applied = network.applied.len();
-    network.step(leader, Input::Resign);
-    network.propose(leader);
-    assert_eq!(network.rejected, 1, "a resigning leader takes no request");
+fn resigning_leader_transfers_leadership() {
+    let mut cluster = cluster_with_leader(3, 3);
+    cluster.run(10);
+    let leader = cluster.leader().unwrap();
+    cluster.propose(leader);
+    let applied = cluster.applied.len();
+    cluster.step(leader, Input::Resign);
+    cluster.propose(leader);
+    assert_eq!(cluster.rejected, 1, "a resigning leader rejects requests");
     // Half of the shortest election timeout.
-    network.run(7);
-    let next = network.leader().expect("another replica leads");
+    cluster.run(7);
+    let next = cluster.leader().expect("another replica leads");
     assert_ne!(next, leader);
-    assert_eq!(network.applied.len(), applied + 1);
-    assert_eq!(network.rejected, 1, "the request taken before was answered");
-    network.crash(leader);
-    assert!(network.run_until_accepted(1));
+    assert_eq!(cluster.applied.len(), applied + 1);
+    assert_eq!(
+        cluster.rejected, 1,
+        "the request accepted before was completed"
+    );
+    cluster.crash(leader);
+    assert!(cluster.run_until_accepted(1));
 }
 
-/// Guards against a group that takes no more requests because its leader resigned in vain.
+/// Guards against a leader that keeps rejecting requests because no voter could take over when it
+/// resigned.
 #[test]
-fn a_leader_without_successor_goes_on() {
-    let mut network = group(1, 1);
-    network.step(0, Input::Resign);
-    network.run(20);
-    assert!(network.run_until_accepted(1));
+fn resigning_leader_without_successor_keeps_leading() {
+    let mut cluster = cluster_with_leader(1, 1);
+    cluster.step(0, Input::Resign);
+    cluster.run(20);
+    assert!(cluster.run_until_accepted(1));
 }
 
-/// Guards against a replica that stops working when its clock is set back, by an hour here.
+/// Guards against a replica that stops working when its clock is set back, here by one hour.
 #[test]
-fn a_clock_may_go_back() {
-    let mut network = group(3, 3);
-    for node in &mut network.nodes {
+fn tolerates_a_clock_that_goes_back() {
+    let mut cluster = cluster_with_leader(3, 3);
+    for node in &mut cluster.nodes {
         node.clock_offset += 3_600_000;
     }
-    assert!(network.run_until_accepted(20));
-    for node in &mut network.nodes {
+    assert!(cluster.run_until_accepted(20));
+    for node in &mut cluster.nodes {
         node.clock_offset -= 3_600_000;
     }
-    assert!(network.run_until_accepted(20));
-    network.crash(network.leader().unwrap());
-    assert!(network.run_until_accepted(40), "the others elect a leader");
+    assert!(cluster.run_until_accepted(20));
+    cluster.crash(cluster.leader().unwrap());
+    assert!(cluster.run_until_accepted(40), "the others elect a leader");
 }
 
-/// Guards against a replica that forces elections because it alone misses the leader's messages.
+/// Guards against a replica that forces elections because it alone does not receive the leader's
+/// messages.
 #[test]
-fn a_replica_that_misses_the_leader_starts_no_term() {
-    let mut network = group(3, 3);
-    let leader = network.leader().unwrap();
-    let before = term(&network, leader);
+fn replica_without_leader_contact_does_not_raise_the_term() {
+    let mut cluster = cluster_with_leader(3, 3);
+    let leader = cluster.leader().unwrap();
+    let before = term(&cluster, leader);
     let missing = (leader + 1) % 3;
-    network.cuts.insert((leader, missing));
-    network.run(200);
-    assert_eq!(term(&network, missing), before);
-    network.cuts.clear();
-    network.run(30);
-    assert_eq!(network.leader(), Some(leader));
-    assert_eq!(term(&network, leader), before);
+    cluster.cut_links.insert((leader, missing));
+    cluster.run(200);
+    assert_eq!(term(&cluster, missing), before);
+    cluster.cut_links.clear();
+    cluster.run(30);
+    assert_eq!(cluster.leader(), Some(leader));
+    assert_eq!(term(&cluster, leader), before);
 }
 
-/// Guards against a stale read: a leader that is cut off answers none from its old state, unless its
-/// lease still keeps the others from electing a new leader.
+/// Guards against stale reads: an isolated leader must not serve reads, unless its lease still
+/// prevents the others from electing a new leader.
 #[test]
-fn an_isolated_leader_answers_reads_only_under_a_lease() {
+fn isolated_leader_serves_reads_only_under_a_lease() {
     for has_lease in [false, true] {
         let config = Config::builder().lease_reads(has_lease).build();
-        let mut network = Network::new(3, 3, 1, config);
-        assert!(network.run_until_accepted(20));
-        let old = network.leader().unwrap();
-        network.read(old);
-        network.run(5);
-        assert_eq!(network.answered_reads, 1, "a leader with a quorum answers");
-        network.isolate(old);
-        network.read(old);
-        let answered = if has_lease { 2 } else { 1 };
-        assert_eq!(network.answered_reads, answered, "lease: {has_lease}");
-        assert_eq!(status(&network, old).role, "leader");
-        network.run(20);
-        network.read(old);
-        network.run(100);
-        assert_eq!(network.answered_reads, answered, "lease: {has_lease}");
-        assert!(network.run_until_accepted(40));
+        let mut cluster = Cluster::new(3, 3, 1, config);
+        assert!(cluster.run_until_accepted(20));
+        let old = cluster.leader().unwrap();
+        cluster.read(old);
+        cluster.run(5);
+        assert_eq!(
+            cluster.served_reads, 1,
+            "a leader with a quorum serves reads"
+        );
+        cluster.isolate(old);
+        cluster.read(old);
+        let served = if has_lease { 2 } else { 1 };
+        assert_eq!(cluster.served_reads, served, "lease reads: {has_lease}");
+        assert_eq!(status(&cluster, old).role, "leader");
+        cluster.run(20);
+        cluster.read(old);
+        cluster.run(100);
+        assert_eq!(cluster.served_reads, served, "lease reads: {has_lease}");
+        assert!(cluster.run_until_accepted(40));
     }
 }
 
-/// Guards against a lagging replica that the records in memory no longer reach, with a snapshot of
-/// several chunks.
+/// Guards against a lagging replica that can't catch up, because the records it needs are no longer
+/// in memory and the snapshot takes several chunks.
 #[test]
 fn sends_a_snapshot_in_chunks() {
-    let mut network = group(3, 3);
-    let leader = network.leader().unwrap();
+    let mut cluster = cluster_with_leader(3, 3);
+    let leader = cluster.leader().unwrap();
     let lagging = (leader + 1) % 3;
-    network.crash(lagging);
+    cluster.crash(lagging);
     for _ in 0..30 {
-        let token = network.token();
+        let token = cluster.token();
         let data: Arc<[u8]> = vec![5; 40_000].into();
-        network.step(leader, Input::Propose { token, data });
-        network.run(1);
+        cluster.step(leader, Input::Propose { token, data });
+        cluster.run(1);
     }
-    network.start(lagging);
-    network.run(60);
+    cluster.start(lagging);
+    cluster.run(60);
     assert_eq!(
-        status(&network, lagging).applied,
-        status(&network, leader).applied
+        status(&cluster, lagging).applied,
+        status(&cluster, leader).applied
     );
-    assert!(status(&network, lagging).boot_confirmed);
+    assert!(status(&cluster, lagging).boot_confirmed);
 }
 
 fn record(index: u64, term: u64) -> Record {
@@ -412,7 +435,7 @@
     }
 }
 
-/// A follower in term 2 with 20 synced records of term 1.
+/// Creates a follower in term 2 with 20 synced records of term 1.
 fn follower_with_old_records() -> Replica {
     let recovered = Recovered {
         replica: ReplicaId(1),
@@ -427,7 +450,7 @@
     Replica::recover(config(), vm, recovered, 1, Timestamp(1_000)).0
 }
 
-/// Passes on a message of the leader of term 2.
+/// Delivers a message from the leader of term 2.
 fn receive(replica: &mut Replica, body: Body) -> Vec<Output> {
     let message = Message {
         version: MESSAGE_VERSION,
@@ -440,8 +463,8 @@
     replica.step(Timestamp(1_000), Input::Message { from, message })
 }
 
-/// Sends two records after the tenth, which has `prev_term`, and then a heartbeat. Returns what the
-/// follower states in its answer to be synced.
+/// Appends two records after the tenth, which has `prev_term`, and then sends a heartbeat. Returns
+/// the last synced index that the follower reports in its reply.
 fn synced_after_append(replica: &mut Replica, prev_term: u64) -> Option<LogIndex> {
     let append = |prev_index, prev_term, records| Body::Append {
         prev_index: LogIndex(prev_index),
@@ -453,7 +476,10 @@
     let records = vec![record(11, 2), record(12, 2)];
     let outputs = receive(replica, append(10, prev_term, records));
     let sends = |output: &Output| matches!(output, Output::Send { .. });
-    assert!(!outputs.iter().any(sends), "sent before the sync");
+    assert!(
+        !outputs.iter().any(sends),
+        "the reply was sent before the sync"
+    );
     let outputs = receive(replica, append(12, 2, Vec::new()));
     outputs.iter().find_map(|output| match output {
         Output::Send { message, .. } => match message.body {
@@ -464,18 +490,19 @@
     })
 }
 
-/// Guards against an answer that counts records as synced because those that they replace were.
+/// Guards against a reply that reports new records as synced because the records that they replaced
+/// were.
 #[test]
-fn replaced_records_are_not_synced() {
+fn replaced_records_are_not_reported_as_synced() {
     let mut replica = follower_with_old_records();
     let synced = synced_after_append(&mut replica, 1);
     assert_eq!(synced, Some(LogIndex(10)));
 }
 
-/// Guards against an answer that counts records as synced because a longer log, which a snapshot
-/// has replaced, was.
+/// Guards against a reply that reports records as synced because the longer log that a snapshot
+/// replaced was.
 #[test]
-fn records_after_a_received_snapshot_are_not_synced() {
+fn records_after_a_received_snapshot_are_not_reported_as_synced() {
     let mut replica = follower_with_old_records();
     let chunk = Body::SnapshotChunk {
         meta: SnapshotMeta {
@@ -494,33 +521,33 @@
     assert_eq!(synced, Some(LogIndex(0)));
 }
 
-/// Guards against a restart that loses state once the log is long and has snapshots.
+/// Guards against a restart that loses commands once the log is long and has snapshots.
 #[test]
-fn recovers_exactly_after_a_thousand_changes() {
-    let mut network = group(3, 3);
+fn recovers_all_commands_after_a_thousand_proposals() {
+    let mut cluster = cluster_with_leader(3, 3);
     for _ in 0..1_000 {
-        let leader = network.leader().unwrap();
-        network.propose(leader);
-        network.run(1);
+        let leader = cluster.leader().unwrap();
+        cluster.propose(leader);
+        cluster.run(1);
     }
-    let before = network.applied.clone();
+    let before = cluster.applied.clone();
     assert!(before.len() > 1_000);
     for node in 0..3 {
-        network.crash(node);
+        cluster.crash(node);
     }
     for node in 0..3 {
-        network.start(node);
+        cluster.start(node);
     }
-    assert!(network.run_until_accepted(40));
-    assert_eq!(network.applied[..before.len()], before);
+    assert!(cluster.run_until_accepted(40));
+    assert_eq!(cluster.applied[..before.len()], before);
 }
 
-/// Guards against one sync per proposal: what arrives during a write forms the next one.
+/// Guards against one sync per proposal: proposals that arrive during a write form the next one.
 #[test]
-fn groups_proposals_into_one_write() {
-    let mut network = group(1, 1);
-    let process = network.nodes[0].process.as_mut().unwrap();
-    let now = Timestamp(network.now);
+fn batches_proposals_into_one_write() {
+    let mut cluster = cluster_with_leader(1, 1);
+    let process = cluster.nodes[0].process.as_mut().unwrap();
+    let now = Timestamp(cluster.now);
     let mut writes = Vec::new();
     let mut propose = |token: u64| {
         let data: Arc<[u8]> = Arc::from([1_u8].as_slice());
@@ -532,7 +559,7 @@
         }));
     };
     (100..150).for_each(&mut propose);
-    assert_eq!(writes.len(), 1, "one write is open at a time");
+    assert_eq!(writes.len(), 1, "at most one write is in flight");
     assert_eq!(writes[0].records.len(), 1);
     let sequence = writes[0].sequence;
     let outputs = process.replica.step(now, Input::Persisted { sequence });
@@ -543,18 +570,18 @@
     assert_eq!(batch, Some(49));
 }
 
-/// Guards against a caller that is left without an answer or sent to the wrong VM.
+/// Guards against a caller that gets no reply from a follower or is directed to the wrong VM.
 #[test]
-fn a_follower_names_the_leader() {
-    let mut network = group(3, 3);
-    network.run(10);
-    let leader = network.leader().unwrap();
+fn follower_rejects_requests_with_the_leaders_vm() {
+    let mut cluster = cluster_with_leader(3, 3);
+    cluster.run(10);
+    let leader = cluster.leader().unwrap();
     let follower = (leader + 1) % 3;
-    let now = Timestamp(network.now + network.nodes[follower].clock_offset);
+    let now = Timestamp(cluster.now + cluster.nodes[follower].clock_offset);
     let expected = RejectReason::NotLeader {
-        leader: Some(network.nodes[leader].vm.clone()),
+        leader: Some(cluster.nodes[leader].vm.clone()),
     };
-    let process = network.nodes[follower].process.as_mut().unwrap();
+    let process = cluster.nodes[follower].process.as_mut().unwrap();
     let token = Token(9_000);
     let data: Arc<[u8]> = Arc::from([1_u8].as_slice());
     let inputs = [
@@ -572,9 +599,10 @@
     }
 }
 
-/// Guards against a copy that passes for the folder, and a folder that its own crash condemns.
+/// Guards against an outdated copy that is accepted as new, and a valid data folder that is rejected
+/// after a crash.
 #[test]
-fn tells_new_boots_from_old_ones() {
+fn distinguishes_new_boots_from_older_ones() {
     let boot = |counter, nonce, attempts: &[u64]| Boot {
         counter,
         nonce,
@@ -587,20 +615,20 @@
         ("next boot", boot(3, 30, &[]), known(2, 20), true),
         ("repeated check", boot(3, 30, &[]), known(3, 30), true),
         (
-            "crash before the confirmation",
+            "crash before confirmation",
             boot(3, 31, &[30]),
             known(3, 30),
             true,
         ),
-        ("older copy", boot(2, 21, &[]), known(3, 30), false),
+        ("outdated copy", boot(2, 21, &[]), known(3, 30), false),
         (
-            "copy from the boot before",
+            "copy from the previous boot",
             boot(3, 31, &[]),
             known(3, 30),
             false,
         ),
         (
-            "copy started often",
+            "copy restarted repeatedly",
             boot(3, 34, &[31, 32, 33]),
             known(3, 30),
             false,
@@ -611,9 +639,9 @@
     }
 }
 
-/// Guards against messages that take memory beyond their bounds or come from a newer program.
+/// Guards against messages that exceed their limits or have a newer format version.
 #[test]
-fn refuses_messages_out_of_bounds() {
+fn rejects_messages_out_of_bounds() {
     let message = |body| Message {
         version: MESSAGE_VERSION,
         from: ReplicaId(1),
@@ -647,16 +675,20 @@
         ..check(1)
     };
     let cases = [
-        ("a good check", check(64), None),
-        ("too many attempts", check(65), Some(DecodeError::Malformed)),
-        ("a good append", append(5), None),
+        ("valid boot check", check(64), None),
+        (
+            "too many boot attempts",
+            check(65),
+            Some(DecodeError::Malformed),
+        ),
+        ("valid append", append(5), None),
         (
-            "a gap before the records",
+            "gap before the records",
             append(6),
             Some(DecodeError::Malformed),
         ),
         (
-            "a newer version",
+            "newer version",
             newer,
             Some(DecodeError::Version(MESSAGE_VERSION + 1)),
         ),
@@ -668,12 +700,12 @@
     for length in 0..bytes.len() {
         assert!(
             Message::decode(&bytes[..length]).is_err(),
-            "cut at {length}"
+            "truncated to {length} bytes"
         );
     }
 }
 
-/// Guards against member lists that grow without bound or list a replica twice.
+/// Guards against member lists that are too long or list a replica twice.
 #[test]
 fn bounds_the_member_list() {
     let member = |replica: usize| Member {
--- a/crates/auburnbridge_log/tests/schedules.rs
+++ b/crates/auburnbridge_log/tests/schedules.rs
@@ -1,26 +1,26 @@
-//! The replicated log under random and chosen schedules of faults.
+//! The replicated log under random schedules of faults.
 
-mod network;
-mod storm;
+mod cluster;
+mod faults;
 
-use network::{Network, config};
+use cluster::{Cluster, config};
+use faults::{change_members_at_leader, run_with_random_faults};
 use proptest::prelude::*;
 use proptest::test_runner::{FileFailurePersistence, RngSeed};
-use storm::{change_at_leader, storm};
 
 #[derive(Clone, Copy, Debug)]
 enum Action {
     Run(usize),
-    Storm(usize),
+    RandomFaults(usize),
     Tick(usize, u64),
     Deliver(usize),
     Drop(usize),
     Duplicate(usize),
     Reverse,
     Sync(usize),
-    Cut(usize, usize),
+    CutLink(usize, usize),
     Isolate(usize),
-    Heal,
+    RestoreLinks,
     Crash(usize),
     Start(usize),
     SaveCopy(usize),
@@ -39,16 +39,16 @@
     let node = || 0..NODES;
     prop_oneof![
         12 => (1..30_usize).prop_map(Action::Run),
-        6 => (1..60_usize).prop_map(Action::Storm),
+        6 => (1..60_usize).prop_map(Action::RandomFaults),
         8 => (node(), 0..400_u64).prop_map(|(node, ms)| Action::Tick(node, ms)),
         20 => any::<usize>().prop_map(Action::Deliver),
         6 => any::<usize>().prop_map(Action::Drop),
         6 => any::<usize>().prop_map(Action::Duplicate),
         3 => Just(Action::Reverse),
         12 => node().prop_map(Action::Sync),
-        4 => (node(), node()).prop_map(|(from, to)| Action::Cut(from, to)),
+        4 => (node(), node()).prop_map(|(from, to)| Action::CutLink(from, to)),
         4 => node().prop_map(Action::Isolate),
-        3 => Just(Action::Heal),
+        3 => Just(Action::RestoreLinks),
         4 => node().prop_map(Action::Crash),
         6 => node().prop_map(Action::Start),
         2 => node().prop_map(Action::SaveCopy),
@@ -62,57 +62,57 @@
     ]
 }
 
-fn perform(network: &mut Network, action: Action) {
-    let pending = network.queue.len();
+fn perform(cluster: &mut Cluster, action: Action) {
+    let pending = cluster.queue.len();
     match action {
-        Action::Run(rounds) => network.run(rounds),
-        Action::Storm(rounds) => storm(network, rounds),
+        Action::Run(rounds) => cluster.run(rounds),
+        Action::RandomFaults(rounds) => run_with_random_faults(cluster, rounds),
         Action::Tick(node, ms) => {
-            network.now += ms;
-            network.step(node, auburnbridge_log::Input::Tick);
+            cluster.now += ms;
+            cluster.step(node, auburnbridge_log::Input::Tick);
         }
-        Action::Deliver(pick) if pending > 0 => network.deliver(pick % pending),
+        Action::Deliver(pick) if pending > 0 => cluster.deliver(pick % pending),
         Action::Drop(pick) if pending > 0 => {
-            network.queue.remove(pick % pending);
+            cluster.queue.remove(pick % pending);
         }
         Action::Duplicate(pick) if pending > 0 => {
-            let message = network.queue[pick % pending].clone();
-            network.queue.push(message);
+            let message = cluster.queue[pick % pending].clone();
+            cluster.queue.push(message);
         }
-        Action::Reverse => network.queue.reverse(),
-        Action::Sync(node) => network.sync(node),
-        Action::Cut(from, to) => {
-            network.cuts.insert((from, to));
+        Action::Reverse => cluster.queue.reverse(),
+        Action::Sync(node) => cluster.sync(node),
+        Action::CutLink(from, to) => {
+            cluster.cut_links.insert((from, to));
         }
-        Action::Isolate(node) => network.isolate(node),
-        Action::Heal => network.cuts.clear(),
-        Action::Crash(node) => network.crash(node),
-        Action::Start(node) => network.start(node),
-        Action::SaveCopy(node) => network.save_copy(node),
-        Action::RestoreCopy(node) if network.detects_copy_of(node) => network.restore_copy(node),
+        Action::Isolate(node) => cluster.isolate(node),
+        Action::RestoreLinks => cluster.cut_links.clear(),
+        Action::Crash(node) => cluster.crash(node),
+        Action::Start(node) => cluster.start(node),
+        Action::SaveCopy(node) => cluster.save_copy(node),
+        Action::RestoreCopy(node) if cluster.detects_old_copy(node) => cluster.restore_copy(node),
         Action::Deliver(_) | Action::Drop(_) | Action::Duplicate(_) | Action::RestoreCopy(_) => {}
-        Action::ReplaceDisk(node) => network.replace_disk(node),
-        Action::Propose(node) => network.propose(node),
-        Action::Read(node) => network.read(node),
-        Action::AddLearner(node) => change_at_leader(network, node, 0),
-        Action::Promote(node) => change_at_leader(network, node, 1),
-        Action::Remove(node) => change_at_leader(network, node, 2),
+        Action::ReplaceDisk(node) => cluster.replace_disk(node),
+        Action::Propose(node) => cluster.propose(node),
+        Action::Read(node) => cluster.read(node),
+        Action::AddLearner(node) => change_members_at_leader(cluster, node, 0),
+        Action::Promote(node) => change_members_at_leader(cluster, node, 1),
+        Action::Remove(node) => change_members_at_leader(cluster, node, 2),
     }
-    // A transport bounds its queue too.
-    let excess = network.queue.len().saturating_sub(400);
-    network.queue.drain(..excess);
+    // The transport limits its queue, too.
+    let excess = cluster.queue.len().saturating_sub(400);
+    cluster.queue.drain(..excess);
 }
 
-fn heal_everything(network: &mut Network) {
-    network.cuts.clear();
+fn restore_links_and_processes(cluster: &mut Cluster) {
+    cluster.cut_links.clear();
     for node in 0..NODES {
-        network.start(node);
+        cluster.start(node);
     }
 }
 
-/// State of the running replicas, for the message of a failed check.
-fn describe(network: &Network) -> String {
-    let processes = network
+/// Describes the running replicas, for the message of a failed assertion.
+fn describe_replicas(cluster: &Cluster) -> String {
+    let processes = cluster
         .nodes
         .iter()
         .filter_map(|node| node.process.as_ref());
@@ -123,8 +123,8 @@
     lines.collect()
 }
 
-/// The same schedules in each run, unless `PROPTEST_RNG_SEED` and `PROPTEST_CASES` ask for others.
-fn fixed_by_default() -> ProptestConfig {
+/// Runs the same schedules each time, unless `PROPTEST_RNG_SEED` or `PROPTEST_CASES` is set.
+fn config_with_fixed_seed() -> ProptestConfig {
     let config = ProptestConfig::default();
     let rng_seed = match config.rng_seed {
         RngSeed::Random => RngSeed::Fixed(1),
@@ -138,28 +138,28 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_by_default())]
+    #![proptest_config(config_with_fixed_seed())]
 
-    /// Guards against two leaders in a term, records that change or vanish after they were
-    /// accepted, replicas that apply different commands, log time that goes back, reads that miss
-    /// an accepted command, old copies that count, and a group that doesn't recover.
+    /// Guards against two leaders in a term, accepted records that change or are lost, replicas
+    /// that apply different commands, log time that decreases, reads that miss an accepted command,
+    /// outdated data folders that count towards the quorum, and a group that doesn't recover.
     #[test]
-    fn keeps_the_invariants(
+    fn upholds_invariants_under_random_faults(
         seed: u64,
         voters in 1..=NODES,
         actions in proptest::collection::vec(action(), 50..400),
     ) {
-        let mut network = Network::new(NODES, voters, seed, config());
-        network.run(30);
+        let mut cluster = Cluster::new(NODES, voters, seed, config());
+        cluster.run(30);
         for action in actions {
-            perform(&mut network, action);
+            perform(&mut cluster, action);
         }
-        heal_everything(&mut network);
-        let recovers = network.run_until_accepted(60);
+        restore_links_and_processes(&mut cluster);
+        let recovers = cluster.run_until_accepted(60);
         prop_assert!(
-            recovers || network.has_lost_disks,
-            "the healed group accepts nothing:\n{}",
-            describe(&network)
+            recovers || cluster.has_lost_disks,
+            "the group accepts no command after recovery:\n{}",
+            describe_replicas(&cluster)
         );
     }
 }
