--- a/crates/auburnbridge_gateway/src/exchange.rs
+++ b/crates/auburnbridge_gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with one target: what it came to, and what it says about the target.
+//! One exchange with one target: its outcome, and what it reveals about the target's health.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,107 +14,111 @@
 use futures_lite::FutureExt;
 use log::info;
 
-use crate::answer::Failure;
-use crate::gate::{Assignment, ServiceGate};
+use crate::failure::Failure;
 use crate::gateway::{Gateway, Incoming};
+use crate::service_dispatcher::{Assignment, ServiceDispatcher};
 
-/// Status of a target that is not the expected one.
+/// Status with which a process responds if it is not the target that the request expects.
 const MISDIRECTED: u16 = 421;
-/// Statuses that promise callers that their request has not run.
-const PROMISES: [u16; 3] = [408, 429, 503];
+/// Statuses that tell a caller that its request was not run.
+const NOT_RUN_STATUSES: [u16; 3] = [408, 429, 503];
 
-/// Sends one request to targets.
+/// Performs the exchanges of one request with targets.
 #[derive(Clone, Copy)]
 pub(crate) struct Exchanger<'a> {
     pub(crate) gateway: &'a Arc<Gateway>,
     pub(crate) incoming: &'a Incoming,
-    pub(crate) gate: &'a Arc<ServiceGate>,
+    pub(crate) dispatcher: &'a Arc<ServiceDispatcher>,
 }
 
-/// What a send to one target came to.
+/// Outcome of sending a request to one target.
 pub(crate) enum Outcome {
-    /// The target's answer is the caller's.
+    /// The target's response is passed on to the caller.
     Answered(Response),
-    /// The target certainly didn't run the request.
+    /// The target certainly did not run the request.
     NotRun,
-    /// The target may have run it and gave no usable answer.
+    /// The target may have run the request and sent no usable response.
     MayHaveRun(Failure),
-    /// The target answered with an error of its own.
+    /// The target responded with a server error of its own.
     ServerError(Response),
 }
 
-/// What a send to one target came to, and whether the request reached it.
-pub(crate) struct Sent {
+/// Outcome of a send, and whether the request reached the target.
+pub(crate) struct SendResult {
     pub(crate) outcome: Outcome,
-    pub(crate) has_arrived: bool,
+    pub(crate) reached_target: bool,
 }
 
 impl Exchanger<'_> {
-    /// Sends the request to a target and waits for what it comes to. Dropping the future ends the
+    /// Sends the request to a target and waits for the outcome. Dropping the future cancels the
     /// request at the target.
-    pub(crate) async fn send(self, assignment: Assignment) -> Sent {
+    pub(crate) async fn send(self, assignment: Assignment) -> SendResult {
         let start = self.gateway.clock.now();
-        let message = self.outgoing(&assignment, start);
+        let request = self.outgoing_request(&assignment, start);
         let was_silent = AtomicBool::new(false);
-        let silence = self.observe_silence(&assignment, &was_silent);
-        let exchange = self.exchange(&assignment, &message).or(silence).await;
+        let silence = self.watch_for_silence(&assignment, &was_silent);
+        let exchange = self.exchange(&assignment, &request).or(silence).await;
         let time = self.gateway.clock.now().since(start);
         let reused = exchange.reused;
         let was_silent = was_silent.load(Ordering::Relaxed);
-        let (outcome, finding) = self.judge(exchange, time, was_silent, &assignment).await;
+        let (outcome, finding) = self.classify(exchange, time, was_silent, &assignment).await;
         self.log_exchange(&assignment, &outcome, finding, time, reused);
         let is_unsent = matches!(outcome, Outcome::NotRun) && finding != Some(Finding::Shed);
         assignment.finish(finding);
         if finding.is_some_and(Finding::is_reported) {
-            self.gateway.news.notify(usize::MAX);
+            self.gateway.urgent_report.notify(usize::MAX);
         }
-        Sent {
+        SendResult {
             outcome,
-            has_arrived: !is_unsent,
+            reached_target: !is_unsent,
         }
     }
 
-    async fn exchange(self, assignment: &Assignment, message: &Request) -> Exchange {
-        let limits = self.gateway.answer_limits();
-        let until = self.incoming.deadline;
+    async fn exchange(self, assignment: &Assignment, request: &Request) -> Exchange {
+        let limits = self.gateway.response_limits();
+        let deadline = self.incoming.deadline;
         let (pool, address) = (&self.gateway.pool, assignment.address());
         match self.incoming.route.class {
-            RequestClass::Idempotent => pool.exchange(address, message, &limits, until).await,
-            RequestClass::Once => pool.exchange_fresh(address, message, &limits, until).await,
+            RequestClass::Idempotent => pool.exchange(address, request, &limits, deadline).await,
+            RequestClass::Once => {
+                pool.exchange_fresh(address, request, &limits, deadline)
+                    .await
+            }
         }
     }
 
-    /// Takes the lack of an answer in several times the usual time as evidence while the request goes
-    /// on; otherwise the target would get more work up to the deadline. Never ends.
-    async fn observe_silence<T>(self, assignment: &Assignment, was_silent: &AtomicBool) -> T {
-        let patience = self.gate.answer_times().silent_after();
-        self.gateway.clock.sleep(patience).await;
+    /// Records a finding if the target has not responded after several times the average response
+    /// time, while the request continues; otherwise the target would get more requests until the
+    /// deadline. The future never completes.
+    async fn watch_for_silence<T>(self, assignment: &Assignment, was_silent: &AtomicBool) -> T {
+        let silent_after = self.dispatcher.answer_times().silent_after();
+        self.gateway.clock.sleep(silent_after).await;
         info!(
-            attempt = self.attempt_id(), service = self.gate.name().as_str(),
-            target_id = assignment.target().as_str(), after_ms = patience.0;
+            attempt = self.attempt_id(), service = self.dispatcher.name().as_str(),
+            target_id = assignment.target().as_str(), after_ms = silent_after.0;
             "target silent"
         );
         was_silent.store(true, Ordering::Relaxed);
-        self.gate.observe(assignment.key(), Finding::Silent);
-        self.gateway.news.notify(usize::MAX);
+        self.dispatcher.observe(assignment.key(), Finding::Silent);
+        self.gateway.urgent_report.notify(usize::MAX);
         std::future::pending().await
     }
 
-    /// The request as it goes to a target.
-    fn outgoing(&self, assignment: &Assignment, now: Timestamp) -> Request {
-        let mut message = self.incoming.message.clone();
-        message.verdict = Verdict::Reuse;
+    /// The request as sent to a target, with the remaining time and the expected target.
+    fn outgoing_request(&self, assignment: &Assignment, now: Timestamp) -> Request {
+        let mut request = self.incoming.request.clone();
+        request.verdict = Verdict::Reuse;
         let left = self.incoming.deadline.since(now);
         let headers = self.gateway.headers;
-        message.headers.set(headers.deadline, left.0.to_string());
-        message
+        request.headers.set(headers.deadline, left.0.to_string());
+        request
             .headers
             .set(headers.expected_target, assignment.target().as_str());
-        message
+        request
     }
 
-    /// What an exchange came to, and what it says about the target.
-    async fn judge(
+    /// Determines the outcome of an exchange and the finding about the target.
+    async fn classify(
         &self,
         exchange: Exchange,
         time: Millis,
@@ -122,14 +126,16 @@
         assignment: &Assignment,
     ) -> (Outcome, Option<Finding>) {
         match exchange.result {
-            ExchangeResult::Answered(response) => self.judge_answer(response, time, was_silent),
-            ExchangeResult::NotSent(reason) => (Outcome::NotRun, finding_of_unsent(reason)),
+            ExchangeResult::Answered(response) => {
+                self.classify_response(response, time, was_silent)
+            }
+            ExchangeResult::NotSent(reason) => (Outcome::NotRun, finding_for_not_sent(reason)),
             ExchangeResult::Unknown {
                 reason: Unknown::Deadline,
                 ..
             } => {
-                // A long silence has been observed already, and a short time left must not make a
-                // healthy target look sick.
+                // A long silence has been recorded already, and a short remaining time must not count
+                // against a healthy target.
                 (Outcome::MayHaveRun(Failure::TimedOut), None)
             }
             ExchangeResult::Unknown {
@@ -140,10 +146,10 @@
                     let check = check_crash(
                         Arc::clone(self.gateway),
                         assignment.address(),
-                        self.crash_of(assignment),
+                        self.crash_report(assignment),
                     );
                     if self.incoming.route.class == RequestClass::Idempotent {
-                        // It must be known before the request goes to another target.
+                        // A crash must be known before the request is retried on another target.
                         check.await;
                     } else {
                         task::spawn(check);
@@ -155,33 +161,33 @@
         }
     }
 
-    fn judge_answer(
+    fn classify_response(
         &self,
         response: Response,
         time: Millis,
         was_silent: bool,
     ) -> (Outcome, Option<Finding>) {
-        let names = self.gateway.headers;
+        let headers = self.gateway.headers;
         if response.status == MISDIRECTED {
             return (Outcome::NotRun, Some(Finding::Replaced));
         }
-        if response.headers.get(names.not_run).is_some() {
+        if response.headers.get(headers.not_run).is_some() {
             return (Outcome::NotRun, Some(Finding::Shed));
         }
         if response.status < 400 {
-            let is_genuine = response.headers.get(names.seal).is_some()
-                && response.headers.get(names.attempt) == self.incoming_attempt()
+            let is_valid = response.headers.get(headers.seal).is_some()
+                && response.headers.get(headers.attempt) == self.attempt_header()
                 && response.headers.get("Content-Encoding").is_none();
-            if !is_genuine {
+            if !is_valid {
                 return (Outcome::MayHaveRun(Failure::Broken), Some(Finding::Broken));
             }
             return (
                 Outcome::Answered(response),
-                Some(self.gate.judge_answer(time, was_silent)),
+                Some(self.dispatcher.record_response_time(time, was_silent)),
             );
         }
-        if PROMISES.contains(&response.status) {
-            // To the caller these mean "not run", which the target doesn't say.
+        if NOT_RUN_STATUSES.contains(&response.status) {
+            // The caller would take this status for "not run", which the target doesn't state.
             return (
                 Outcome::MayHaveRun(Failure::Broken),
                 Some(Finding::ServerError),
@@ -192,11 +198,11 @@
         }
         (
             Outcome::Answered(response),
-            Some(self.gate.judge_answer(time, was_silent)),
+            Some(self.dispatcher.record_response_time(time, was_silent)),
         )
     }
 
-    fn crash_of(&self, assignment: &Assignment) -> CrashReport {
+    fn crash_report(&self, assignment: &Assignment) -> CrashReport {
         CrashReport {
             request: self.incoming.digest,
             target: assignment.target().clone(),
@@ -221,40 +227,40 @@
         };
         let finding: &'static str = finding.map_or("none", Into::into);
         info!(
-            attempt = self.attempt_id(), service = self.gate.name().as_str(),
+            attempt = self.attempt_id(), service = self.dispatcher.name().as_str(),
             target_id = pick.target.as_str(), incarnation = pick.incarnation.0,
             in_flight = pick.in_flight, suspicion = pick.suspicion, reused = reused,
             time_ms = time.0, result = result, finding = finding;
             "exchange"
         );
         let labels = ExchangeLabels {
-            service: self.gate.name().to_string(),
+            service: self.dispatcher.name().to_string(),
             finding: finding.to_owned(),
         };
         self.gateway.metrics.record_exchange(&labels, time);
     }
 
-    /// The id that the caller gave this send of its request.
+    /// Id that the caller gave this attempt of its request.
     pub(crate) fn attempt_id(&self) -> &str {
-        self.incoming_attempt()
+        self.attempt_header()
             .and_then(|id| std::str::from_utf8(id).ok())
             .unwrap_or("-")
     }
 
-    fn incoming_attempt(&self) -> Option<&[u8]> {
+    fn attempt_header(&self) -> Option<&[u8]> {
         let name = self.gateway.headers.attempt;
-        self.incoming.message.headers.get(name)
+        self.incoming.request.headers.get(name)
     }
 }
 
-/// Reports a crash if the target refuses connections after it broke off.
+/// Reports a crash if the target refuses connections after the connection broke.
 async fn check_crash(gateway: Arc<Gateway>, address: SocketAddr, crash: CrashReport) {
     if refuses_connections(address).await {
         gateway.report_crash(crash);
     }
 }
 
-fn finding_of_unsent(reason: NotSent) -> Option<Finding> {
+fn finding_for_not_sent(reason: NotSent) -> Option<Finding> {
     match reason {
         NotSent::Refused => Some(Finding::Refused),
         NotSent::ConnectTimeout | NotSent::Closed => Some(Finding::Unreachable),
@@ -263,7 +269,7 @@
     }
 }
 
-/// Whether the target closed the connection or went away.
+/// Whether the target closed the connection or the connection failed.
 fn is_disconnect(reason: Unknown) -> bool {
     matches!(
         reason,
--- a/crates/auburnbridge_gateway/src/answer.rs
+++ b/crates/auburnbridge_gateway/src/failure.rs
@@ -1,29 +1,29 @@
-//! Answers that the gateway makes itself.
+//! Error responses that the gateway generates itself.
 
 use auburnbridge_http::Response;
 use auburnbridge_types::Millis;
 use strum::{Display, IntoStaticStr};
 
-/// Why a request gets no answer of a target.
+/// Why the gateway responds itself instead of passing on a target's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub(crate) enum Failure {
-    /// No configuration has arrived.
+    /// No configuration has been received yet.
     NoConfiguration,
     /// No route matches.
     NoRoute,
-    /// No target of the service can take the request in time; it has not run.
+    /// No target of the service can take the request in time; it did not run.
     NoRoom,
-    /// The request crashed the targets that ran it; it has not run again.
+    /// The request crashed the targets that ran it before, and was not run again.
     Poisoned,
-    /// A target may have run the request and gave no whole answer.
+    /// A target may have run the request and sent no complete response.
     Broken,
-    /// The time was over while a target had the request.
+    /// The deadline passed while a target had the request.
     TimedOut,
 }
 
 impl Failure {
-    /// Whether the request has certainly not run.
+    /// Whether the request certainly did not run.
     pub(crate) fn is_not_run(self) -> bool {
         match self {
             Self::NoConfiguration | Self::NoRoute | Self::NoRoom | Self::Poisoned => true,
@@ -40,19 +40,19 @@
         }
     }
 
-    /// The response, with the advice when to come back.
+    /// The response to the caller, with `Retry-After` if `retry_after` is given.
     pub(crate) fn to_response(self, retry_after: Option<Millis>) -> Response {
         let mut response = Response::new(self.status());
         response.headers.append("Content-Type", "text/plain");
         if let Some(wait) = retry_after {
-            response.headers.append("Retry-After", seconds(wait));
+            response.headers.append("Retry-After", format_seconds(wait));
         }
         response.body = self.to_string().into_bytes().into();
         response
     }
 }
 
-/// A time in seconds with three decimals.
-fn seconds(time: Millis) -> String {
+/// Formats a time in seconds with three decimals.
+fn format_seconds(time: Millis) -> String {
     format!("{}.{:03}", time.0 / 1000, time.0 % 1000)
 }
--- a/crates/auburnbridge_gateway/src/feed.rs
+++ b/crates/auburnbridge_gateway/src/feed.rs
@@ -1,9 +1,9 @@
-//! Follows one keeper for the configuration, the targets and the other gateways.
+//! Watches one keeper at a time for the configuration, the targets and the other gateways.
 //!
-//! A keeper that is cut off from its group can't know what is new. Each reply states when the
-//! keeper's state was last known to be complete; if that is too long ago, or no reply arrives, the
-//! feed goes to another keeper. What a keeper says is taken in any case: versions and departures
-//! only go forward.
+//! A keeper that is partitioned from its group can't know of recent changes. Each reply states when
+//! the keeper's state was last known to be complete; if that is too long ago, or no reply arrives,
+//! the feed switches to another keeper. The contents of a stale reply are applied nevertheless, since
+//! versions and departures only move forward.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -22,54 +22,55 @@
 use crate::gateway::Gateway;
 use crate::neighbours::Neighbours;
 
-/// Longest wait of a keeper for a change.
-const WATCH: Millis = Millis(500);
-/// Longest wait for its reply.
-const REPLY: Millis = Millis(900);
-/// Age from which a keeper's state counts as stale; its leader is heard several times a second.
-const STALE: Millis = Millis(1_200);
-/// Pause after a keeper that gave no reply.
-const RETRY: Millis = Millis(50);
+/// Time for which a keeper holds a watch request open if nothing changes.
+const WATCH_TIMEOUT: Millis = Millis(500);
+/// Timeout for the reply to a watch request.
+const REPLY_TIMEOUT: Millis = Millis(900);
+/// Age from which a keeper's state counts as stale. A connected keeper hears from its leader several
+/// times a second.
+const STALE_AGE: Millis = Millis(1_200);
+/// Delay before the next keeper is tried.
+const RETRY_DELAY: Millis = Millis(50);
 
-/// Follows the keepers.
+/// Keeps a gateway up to date by watching the keepers.
 pub struct Feed {
-    /// The gateway that is kept up to date.
+    /// Gateway that is kept up to date.
     pub gateway: Arc<Gateway>,
-    /// The other gateways.
+    /// Exchange of reports with the other gateways.
     pub neighbours: Arc<Neighbours>,
-    /// Calls keepers.
+    /// Transport for calls to keepers.
     pub transport: Arc<dyn Transport>,
     /// Source of time.
     pub clock: Arc<dyn Clock>,
-    /// Reads documents.
+    /// Parser of configuration documents.
     pub dialect: Arc<dyn Dialect>,
-    /// Where keepers are to be found at first; they may be replaced while the process runs.
+    /// Keepers to contact first; the list may be replaced while the process runs.
     pub seeds: Arc<Mutex<Vec<IpAddr>>>,
-    /// Port at which all keepers serve other processes.
+    /// Port on which all keepers serve other processes.
     pub keeper_port: u16,
-    /// Where this gateway takes datagrams.
+    /// UDP address on which this gateway receives reports.
     pub address: SocketAddr,
-    /// Where this gateway runs.
+    /// Data centre of this gateway.
     pub data_centre: DataCentre,
-    /// Whether a keeper with a complete state has answered.
-    pub is_current: AtomicBool,
-    /// Keepers that a reply named.
-    pub known: Mutex<BTreeSet<VmId>>,
+    /// Whether a keeper with an up-to-date state has replied.
+    pub has_synced: AtomicBool,
+    /// Keepers listed in replies.
+    pub known_keepers: Mutex<BTreeSet<VmId>>,
 }
 
 impl Feed {
-    /// Whether the gateway has been brought up to date once.
-    pub fn is_current(&self) -> bool {
-        self.is_current.load(Ordering::SeqCst)
+    /// Whether the gateway has been brought up to date at least once.
+    pub fn has_synced(&self) -> bool {
+        self.has_synced.load(Ordering::SeqCst)
     }
 
-    /// Follows one keeper after the other until the process ends.
+    /// Watches one keeper after another until the process ends.
     pub async fn run(self: Arc<Self>) {
         let mut turn: usize = rand::random_range(0..64);
         loop {
             let candidates = self.candidates();
             let Some(keeper) = candidates.get(turn % candidates.len().max(1)) else {
-                self.clock.sleep(RETRY).await;
+                self.clock.sleep(RETRY_DELAY).await;
                 continue;
             };
             self.follow(keeper).await;
@@ -77,42 +78,45 @@
         }
     }
 
-    /// Keepers that replies named, and the seeds.
+    /// The known keepers and the seeds.
     fn candidates(&self) -> Vec<PeerAddress> {
         let seeds = self.seeds.lock().clone();
-        let known = self.known.lock();
-        let named = known.iter().filter_map(VmId::ip);
+        let known_keepers = self.known_keepers.lock();
+        let named = known_keepers.iter().filter_map(VmId::ip);
         let all: BTreeSet<IpAddr> = named.chain(seeds).collect();
         all.into_iter()
             .map(|ip| PeerAddress::at(ip, self.keeper_port))
             .collect()
     }
 
-    /// Follows a keeper as long as it answers and is up to date.
+    /// Watches a keeper for as long as it replies and is up to date.
     async fn follow(&self, keeper: &PeerAddress) {
         let mut position = None;
         loop {
             let request = Request::Watch(Watch {
                 version: self.gateway.routes().map(|routes| routes.version()),
                 position,
-                wait: WATCH,
+                wait: WATCH_TIMEOUT,
                 address: self.address,
                 data_centre: self.data_centre.clone(),
             });
             let transport = self.transport.as_ref();
-            let watched = match messages::call(transport, keeper, &request, REPLY).await {
+            let watched = match messages::call(transport, keeper, &request, REPLY_TIMEOUT).await {
                 Ok(Reply::Watched(watched)) => watched,
                 Ok(reply) => {
                     let name: &'static str = (&reply).into();
-                    debug!("keeper {} can't be followed: {name}", keeper.vm);
-                    self.clock.sleep(RETRY).await;
+                    debug!(
+                        "unexpected reply to a watch from keeper {}: {name}",
+                        keeper.vm
+                    );
+                    self.clock.sleep(RETRY_DELAY).await;
                     return;
                 }
                 Err(error) => {
                     if position.is_some() {
                         warn!(keeper = keeper.vm.as_str(), error:% = error; "keeper lost");
                     }
-                    self.clock.sleep(RETRY).await;
+                    self.clock.sleep(RETRY_DELAY).await;
                     return;
                 }
             };
@@ -123,19 +127,20 @@
                     "keeper followed"
                 );
             }
-            let is_complete = watched.confirmed_before.is_some_and(|age| age < STALE);
-            position = Some(self.take(watched));
-            if is_complete {
-                self.is_current.store(true, Ordering::SeqCst);
+            let is_fresh = watched.confirmed_before.is_some_and(|age| age < STALE_AGE);
+            position = Some(self.apply(watched));
+            if is_fresh {
+                self.has_synced.store(true, Ordering::SeqCst);
             } else {
-                debug!("keeper {} is not up to date", keeper.vm);
-                self.clock.sleep(RETRY).await;
+                debug!("state of keeper {} is stale", keeper.vm);
+                self.clock.sleep(RETRY_DELAY).await;
                 return;
             }
         }
     }
 
-    fn take(&self, watched: Watched) -> ListPosition {
+    /// Applies the contents of a reply, and returns the position to watch from next.
+    fn apply(&self, watched: Watched) -> ListPosition {
         if let Some(published) = watched.document {
             let document = unpack_document(&published.document)
                 .map_err(|error| error.to_string())
@@ -146,18 +151,18 @@
                 });
             match document {
                 Ok(routes) => {
-                    self.gateway.put_in_force(routes);
+                    self.gateway.install_routes(routes);
                 }
                 Err(error) => warn!(
                     version = published.version.0, error = error;
-                    "configuration can't be put in force"
+                    "failed to apply configuration"
                 ),
             }
         }
         self.gateway.services().apply_targets(&watched.targets);
         let others = self.neighbours.set_gateways(watched.gateways);
         self.gateway.services().set_gateways(others);
-        self.known.lock().extend(watched.keepers);
+        self.known_keepers.lock().extend(watched.keepers);
         watched.position
     }
 }
--- a/crates/auburnbridge_gateway/src/forward.rs
+++ b/crates/auburnbridge_gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! One request on its way to targets.
+//! Forwarding of one request, with retries and hedging.
 
 use std::sync::Arc;
 
@@ -11,38 +11,38 @@
 use futures_lite::FutureExt;
 use log::info;
 
-use crate::answer::Failure;
-use crate::exchange::{Exchanger, Outcome, Sent};
-use crate::gate::{Assignment, ServiceGate};
+use crate::exchange::{Exchanger, Outcome, SendResult};
+use crate::failure::Failure;
 use crate::gateway::{Gateway, Incoming};
+use crate::service_dispatcher::{Assignment, ServiceDispatcher};
 
-/// Connections that failed before the request was sent; more are not tried.
-const MOST_UNSENT: u32 = 8;
+/// A request is given up after more than this many sends that did not reach their target.
+const MAX_UNSENT: u32 = 8;
 
-/// The state of one request.
-pub(crate) struct Forward<'a> {
+/// Forwards one request, to several targets if needed.
+pub(crate) struct Forwarder<'a> {
     exchanger: Exchanger<'a>,
     disconnect: &'a Disconnect,
     tried: Vec<BalancedKey>,
-    /// Sends that reached a target.
+    /// Number of sends that reached a target.
     sends: u32,
     unsent: u32,
     may_have_run: bool,
     failure: Failure,
 }
 
-impl<'a> Forward<'a> {
+impl<'a> Forwarder<'a> {
     pub(crate) fn new(
         gateway: &'a Arc<Gateway>,
         incoming: &'a Incoming,
-        gate: &'a Arc<ServiceGate>,
+        dispatcher: &'a Arc<ServiceDispatcher>,
         disconnect: &'a Disconnect,
     ) -> Self {
         Self {
             exchanger: Exchanger {
                 gateway,
                 incoming,
-                gate,
+                dispatcher,
             },
             disconnect,
             tried: Vec::new(),
@@ -53,16 +53,16 @@
         }
     }
 
-    /// Serves the request unless its caller goes away, which also ends it at the target.
+    /// Serves the request. If the caller disconnects, the request is cancelled at the target as well.
     pub(crate) async fn run(mut self) -> Response {
         let (exchanger, disconnect) = (self.exchanger, self.disconnect);
         let rank = exchanger.incoming.route.priority.0;
-        exchanger.gate.record_request(rank);
-        let gone = async {
+        exchanger.dispatcher.record_request(rank);
+        let disconnected = async {
             disconnect.wait().await;
             None
         };
-        let served = gone.or(async { Some(self.serve().await) }).await;
+        let served = disconnected.or(async { Some(self.serve().await) }).await;
         served.unwrap_or_else(|| {
             info!(attempt = exchanger.attempt_id(); "request cancelled: the caller disconnected");
             Failure::Broken.to_response(None)
@@ -70,10 +70,10 @@
     }
 
     async fn serve(&mut self) -> Response {
-        let gate = self.exchanger.gate;
+        let dispatcher = self.exchanger.dispatcher;
         let mut last_error = None;
         loop {
-            let assignment = match gate.acquire(self.need()).await {
+            let assignment = match dispatcher.acquire(self.need()).await {
                 Ok(assignment) => assignment,
                 Err(refusal) => return self.give_up(last_error, Some(refusal)),
             };
@@ -90,70 +90,71 @@
                     self.failure = failure;
                 }
             }
-            if !self.may_go_on() {
+            if !self.may_retry() {
                 return self.give_up(last_error, None);
             }
         }
     }
 
-    /// Sends the request to a target. An idempotent request that gets no answer in usual time goes to
-    /// a second target as well, and the first useful answer is taken.
+    /// Sends the request to a target. An idempotent request that gets no response in the usual time is
+    /// hedged: it is also sent to a second target, and the first usable response is taken.
     async fn send(&mut self, assignment: Assignment) -> Outcome {
         let exchanger = self.exchanger;
         if exchanger.incoming.route.class == RequestClass::Once {
-            return self.count(exchanger.send(assignment).await);
+            return self.record_send(exchanger.send(assignment).await);
         }
         let left = exchanger
             .incoming
             .objective
             .since(exchanger.gateway.clock.now());
-        let patience = exchanger.gate.answer_times().second_send_after(left);
+        let hedge_delay = exchanger.dispatcher.answer_times().second_send_after(left);
         let mut first = Box::pin(exchanger.send(assignment));
-        let silent = exchanger.gateway.clock.sleep(patience);
-        let answered = async { Some((&mut first).await) };
-        let waited = async {
-            silent.await;
+        let delay = exchanger.gateway.clock.sleep(hedge_delay);
+        let responded = async { Some((&mut first).await) };
+        let timed_out = async {
+            delay.await;
             None
         };
-        if let Some(sent) = answered.or(waited).await {
-            return self.count(sent);
+        if let Some(result) = responded.or(timed_out).await {
+            return self.record_send(result);
         }
-        let Some(second) = self.second_target() else {
-            return self.count(first.await);
+        let Some(hedge) = self.acquire_hedge() else {
+            return self.record_send(first.await);
         };
-        self.tried.push(second.key());
-        // The first one counts whether it is waited for or not.
+        self.tried.push(hedge.key());
+        // The first send counts whether or not its outcome is awaited.
         self.sends += 1;
-        let mut second = Box::pin(exchanger.send(second));
+        let mut hedge = Box::pin(exchanger.send(hedge));
         let either = async { (true, (&mut first).await) }
-            .or(async { (false, (&mut second).await) })
+            .or(async { (false, (&mut hedge).await) })
             .await;
-        let sent = match either {
-            (_, sent) if matches!(sent.outcome, Outcome::Answered(_)) => sent,
-            (true, _) => second.await,
+        let result = match either {
+            (_, result) if matches!(result.outcome, Outcome::Answered(_)) => result,
+            (true, _) => hedge.await,
             (false, _) => first.await,
         };
-        self.count(sent)
+        self.record_send(result)
     }
 
-    /// A second target for a request that has been sent already, if there is one with a free slot.
-    fn second_target(&mut self) -> Option<Assignment> {
+    /// A second target for a request that is still in flight on the first one, if a target has a free
+    /// slot and the send budget allows it.
+    fn acquire_hedge(&mut self) -> Option<Assignment> {
         let is_allowed = self.sends + 1 < self.exchanger.incoming.route.attempts;
-        let gate = self.exchanger.gate;
+        let dispatcher = self.exchanger.dispatcher;
         if !is_allowed {
             return None;
         }
-        let second = gate.try_acquire(&self.need())?;
-        gate.try_send_again().then_some(second)
+        let hedge = dispatcher.try_acquire(&self.need())?;
+        dispatcher.try_take_resend().then_some(hedge)
     }
 
-    fn count(&mut self, sent: Sent) -> Outcome {
-        if sent.has_arrived {
+    fn record_send(&mut self, result: SendResult) -> Outcome {
+        if result.reached_target {
             self.sends += 1;
         } else {
             self.unsent += 1;
         }
-        sent.outcome
+        result.outcome
     }
 
     fn need(&self) -> Need<'_> {
@@ -167,37 +168,37 @@
         }
     }
 
-    /// Whether the request may go to another target.
-    fn may_go_on(&self) -> bool {
+    /// Whether the request may be sent to another target.
+    fn may_retry(&self) -> bool {
         let Exchanger {
             gateway,
             incoming,
-            gate,
+            dispatcher,
         } = self.exchanger;
-        let is_repeatable = incoming.route.class == RequestClass::Idempotent;
-        if self.may_have_run && !is_repeatable {
+        let is_idempotent = incoming.route.class == RequestClass::Idempotent;
+        if self.may_have_run && !is_idempotent {
             return false;
         }
         if gateway.clock.now() >= incoming.deadline || gateway.is_poisoned(&incoming.digest) {
             return false;
         }
-        if self.unsent > MOST_UNSENT {
+        if self.unsent > MAX_UNSENT {
             return false;
         }
-        self.sends == 0 || (self.sends < incoming.route.attempts && gate.try_send_again())
+        self.sends == 0 || (self.sends < incoming.route.attempts && dispatcher.try_take_resend())
     }
 
     fn deliver(&self, response: Response) -> Response {
-        self.log_end(response.status, "answered", None);
+        self.log_request(response.status, "answered", None);
         response
     }
 
-    /// The answer to a request that goes to no further target.
+    /// The response to a request that is sent to no further target.
     fn give_up(&self, last_error: Option<Response>, refusal: Option<Refusal>) -> Response {
         let exchanger = self.exchanger;
         if self.may_have_run {
             if let Some(response) = last_error {
-                self.log_end(response.status, "target-error", None);
+                self.log_request(response.status, "target-error", None);
                 return response;
             }
             let failure = if self.failure == Failure::NoRoom {
@@ -206,7 +207,7 @@
                 self.failure
             };
             let response = failure.to_response(None);
-            self.log_end(response.status, failure.into(), None);
+            self.log_request(response.status, failure.into(), None);
             return response;
         }
         let failure = if exchanger.gateway.is_poisoned(&exchanger.incoming.digest) {
@@ -214,24 +215,27 @@
         } else {
             Failure::NoRoom
         };
-        let refusal =
-            refusal.unwrap_or_else(|| exchanger.gate.refusal(exchanger.incoming.route.priority.0));
+        let refusal = refusal.unwrap_or_else(|| {
+            exchanger
+                .dispatcher
+                .refusal(exchanger.incoming.route.priority.0)
+        });
         let response = failure.to_response(Some(refusal.retry_after));
-        self.log_end(response.status, failure.into(), Some(refusal.retry_after));
+        self.log_request(response.status, failure.into(), Some(refusal.retry_after));
         response
     }
 
-    fn log_end(&self, status: u16, result: &str, retry_after: Option<Millis>) {
+    fn log_request(&self, status: u16, result: &str, retry_after: Option<Millis>) {
         let Exchanger {
             gateway,
             incoming,
-            gate,
+            dispatcher,
         } = self.exchanger;
         let now = gateway.clock.now();
         let time = now.since(incoming.arrived);
         info!(
             attempt = self.exchanger.attempt_id(), version = incoming.version.0, route = incoming.route.name,
-            service = gate.name().as_str(), class:% = incoming.route.class,
+            service = dispatcher.name().as_str(), class:% = incoming.route.class,
             status = status, result = result, not_run = retry_after.is_some(), sends = self.sends,
             unsent = self.unsent, time_ms = time.0,
             left_ms = incoming.deadline.since(now).0,
@@ -239,7 +243,7 @@
             "request"
         );
         let labels = RequestLabels {
-            service: gate.name().to_string(),
+            service: dispatcher.name().to_string(),
             class: incoming.route.class.to_string(),
             result: result.to_owned(),
         };
--- a/crates/auburnbridge_gateway/src/gateway.rs
+++ b/crates/auburnbridge_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! State of a gateway, and the way of a request up to its service.
+//! State of a gateway, and the routing of a request to its service.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,44 +20,44 @@
 use rand::{Rng, SeedableRng};
 use sha2::{Digest, Sha256};
 
-use crate::answer::Failure;
-use crate::forward::Forward;
-use crate::gate::ServiceGate;
+use crate::failure::Failure;
+use crate::forward::Forwarder;
+use crate::service_dispatcher::ServiceDispatcher;
 use crate::service_table::ServiceTable;
 
-/// Advice to come back while no configuration has arrived, which takes a few round trips.
-const CONFIGURATION_RETRY: Millis = Millis(500);
-/// Advice to come back with a request that crashes targets: when its crashes are forgotten.
-const POISON_RETRY: Millis = auburnbridge_policy::POISON_TIME;
-/// Longest body of a target's answer.
-const ANSWER_LIMIT: ByteSize = ByteSize(64 << 20);
-/// Limits before a configuration has arrived.
-const FIRST_LIMITS: CallerLimits = CallerLimits {
+/// `Retry-After` while no configuration has been received, which takes a few round trips.
+const CONFIGURATION_RETRY_AFTER: Millis = Millis(500);
+/// `Retry-After` of a request that crashes targets: the time after which its crashes expire.
+const POISON_RETRY_AFTER: Millis = auburnbridge_policy::POISON_TIME;
+/// Maximum body size of a target's response.
+const RESPONSE_BODY_LIMIT: ByteSize = ByteSize(64 << 20);
+/// Limits until a configuration has been received.
+const DEFAULT_CALLER_LIMITS: CallerLimits = CallerLimits {
     head: ByteSize(16 * 1024),
     body: ByteSize(64 << 20),
     head_timeout: Millis(3_000),
     idle_timeout: Millis(15_000),
 };
 
-/// Connections of a [`Gateway`] to the rest of the system.
-pub struct GatewayPorts {
+/// Components that a [`Gateway`] uses.
+pub struct GatewayDependencies {
     /// Source of time.
     pub clock: Arc<dyn Clock>,
-    /// Names and formats of the platform.
+    /// Header names, paths and document formats of the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// Connections to targets.
+    /// Connection pool to the targets.
     pub pool: Pool,
-    /// Memory for the bodies of all requests and answers.
+    /// Memory budget for the bodies of all requests and responses.
     pub budget: MemoryBudget,
-    /// Counters and histograms.
+    /// Counters and histograms of the process.
     pub metrics: Arc<ProcessMetrics>,
     /// Seed of the random choices.
     pub seed: u64,
 }
 
-/// A gateway's state.
+/// State of a gateway.
 ///
-/// Lock order: `splits`, `poison` and `unreported_crashes` are never held with another lock.
+/// Lock order: `splits`, `poison` and `unreported_crashes` are never held together with another lock.
 pub struct Gateway {
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) headers: HeaderNames,
@@ -69,39 +69,39 @@
     splits: Mutex<(Splits, StdRng)>,
     poison: Mutex<PoisonTable>,
     unreported_crashes: Mutex<Vec<CrashReport>>,
-    /// Notified when there is something to tell the other gateways at once.
-    pub(crate) news: Event,
+    /// Notified when a finding or crash is to be reported to the other gateways immediately.
+    pub(crate) urgent_report: Event,
 }
 
-/// A request with everything that decisions about it need.
+/// A request with its route and deadlines.
 pub(crate) struct Incoming {
-    pub(crate) message: Request,
-    /// Version of the configuration that gave the route.
+    pub(crate) request: Request,
+    /// Version of the configuration that the route is from.
     pub(crate) version: ConfigVersion,
     pub(crate) route: Arc<PublishedRoute>,
     pub(crate) digest: BodyDigest,
     pub(crate) arrived: Timestamp,
-    /// When the caller or the operator no longer wants it to wait.
+    /// Arrival time plus the route's timeout, or the caller's deadline if that is earlier.
     pub(crate) deadline: Timestamp,
-    /// Until then the answer is of full use.
+    /// Time until which a response is of full use to the caller.
     pub(crate) objective: Timestamp,
 }
 
 impl Gateway {
     /// Creates a gateway without routes.
-    pub fn new(services: ServiceTable, ports: GatewayPorts) -> Self {
+    pub fn new(services: ServiceTable, dependencies: GatewayDependencies) -> Self {
         Self {
-            clock: ports.clock,
-            headers: ports.dialect.headers(),
-            pool: ports.pool,
+            clock: dependencies.clock,
+            headers: dependencies.dialect.headers(),
+            pool: dependencies.pool,
             services,
-            metrics: ports.metrics,
-            budget: ports.budget,
+            metrics: dependencies.metrics,
+            budget: dependencies.budget,
             routes: ArcSwapOption::empty(),
-            splits: Mutex::new((Splits::default(), StdRng::seed_from_u64(ports.seed))),
+            splits: Mutex::new((Splits::default(), StdRng::seed_from_u64(dependencies.seed))),
             poison: Mutex::default(),
             unreported_crashes: Mutex::default(),
-            news: Event::new(),
+            urgent_report: Event::new(),
         }
     }
 
@@ -110,15 +110,16 @@
         self.routes.load_full()
     }
 
-    /// The services.
+    /// The services and their dispatchers.
     pub fn services(&self) -> &ServiceTable {
         &self.services
     }
 
-    /// Puts routes in force unless those in force are as new: versions never go back.
-    pub fn put_in_force(&self, routes: RouteSet) -> bool {
-        let held = self.routes().map(|held| held.version());
-        if held.is_some_and(|held| held >= routes.version()) {
+    /// Puts `routes` in force if their version is newer than the current one, since versions never go
+    /// back. Returns whether it did.
+    pub fn install_routes(&self, routes: RouteSet) -> bool {
+        let current = self.routes().map(|current| current.version());
+        if current.is_some_and(|current| current >= routes.version()) {
             return false;
         }
         let services: Vec<&str> = routes
@@ -126,19 +127,19 @@
             .map(|service| service.name.as_str())
             .collect();
         info!(
-            version = routes.version().0, previous = held.map_or(0, |held| held.0),
+            version = routes.version().0, previous = current.map_or(0, |current| current.0),
             routes = routes.len(), services:? = services;
             "configuration in force"
         );
         self.metrics.set_configuration_version(routes.version().0);
-        // The gates come first, so that no request meets a route without its service.
+        // The dispatchers are updated first, so that no request finds a route without its service.
         self.services.apply_routes(&routes);
         self.splits.lock().0.retain(&routes);
         self.routes.store(Some(Arc::new(routes)));
         true
     }
 
-    /// Takes over a crash that this or another gateway saw.
+    /// Records a crash that this or another gateway observed.
     pub fn record_crash(&self, report: CrashReport) {
         let now = self.clock.now();
         self.poison.lock().record(now, report);
@@ -152,10 +153,10 @@
         );
         self.record_crash(report.clone());
         self.unreported_crashes.lock().push(report);
-        self.news.notify(usize::MAX);
+        self.urgent_report.notify(usize::MAX);
     }
 
-    /// The crashes that the other gateways have not been told yet.
+    /// Takes the crashes that have not been reported to the other gateways yet.
     pub fn take_unreported_crashes(&self) -> Vec<CrashReport> {
         std::mem::take(&mut self.unreported_crashes.lock())
     }
@@ -165,32 +166,33 @@
         self.poison.lock().is_poisoned(now, digest)
     }
 
-    /// Limits of an answer; targets seal theirs, so an answer may end with its connection.
-    pub(crate) fn answer_limits(&self) -> Limits {
+    /// Limits of a target's response. It may be delimited by the end of its connection, since targets
+    /// seal their responses.
+    pub(crate) fn response_limits(&self) -> Limits {
         Limits::default()
-            .with_body_bytes(ANSWER_LIMIT)
+            .with_body_bytes(RESPONSE_BODY_LIMIT)
             .with_budget(self.budget.clone())
             .with_unframed_responses()
     }
 
-    async fn handle(self: Arc<Self>, message: Request, disconnect: Disconnect) -> Response {
+    async fn handle(self: Arc<Self>, request: Request, disconnect: Disconnect) -> Response {
         let arrived = self.clock.now();
-        let refuse = |failure, retry_after| refuse(&message, self.headers, failure, retry_after);
+        let refuse = |failure, retry_after| refuse(&request, self.headers, failure, retry_after);
         let Some(routes) = self.routes() else {
-            return refuse(Failure::NoConfiguration, Some(CONFIGURATION_RETRY));
+            return refuse(Failure::NoConfiguration, Some(CONFIGURATION_RETRY_AFTER));
         };
-        let host = message.headers.text("Host").unwrap_or_default();
-        let Some(route) = routes.find(host, &message.path).cloned() else {
+        let host = request.headers.text("Host").unwrap_or_default();
+        let Some(route) = routes.find(host, &request.path).cloned() else {
             return refuse(Failure::NoRoute, None);
         };
-        let digest = digest_of(&message);
+        let digest = request_digest(&request);
         if self.is_poisoned(&digest) {
-            return refuse(Failure::Poisoned, Some(POISON_RETRY));
+            return refuse(Failure::Poisoned, Some(POISON_RETRY_AFTER));
         }
-        let Some(gate) = self.gate_of(&route) else {
-            return refuse(Failure::NoConfiguration, Some(CONFIGURATION_RETRY));
+        let Some(dispatcher) = self.dispatcher_for(&route) else {
+            return refuse(Failure::NoConfiguration, Some(CONFIGURATION_RETRY_AFTER));
         };
-        let wait = message
+        let wait = request
             .headers
             .text(self.headers.deadline)
             .and_then(|text| text.parse::<Millis>().ok())
@@ -202,57 +204,58 @@
             deadline: arrived.after(wait),
             objective: arrived.after(route.objective.min(wait)),
             route,
-            message,
+            request,
         };
-        Forward::new(&self, &incoming, &gate, &disconnect)
+        Forwarder::new(&self, &incoming, &dispatcher, &disconnect)
             .run()
             .await
     }
 
     fn caller_limits(&self) -> CallerLimits {
-        self.routes().map_or(FIRST_LIMITS, |routes| routes.limits())
+        self.routes()
+            .map_or(DEFAULT_CALLER_LIMITS, |routes| routes.limits())
     }
 
-    fn gate_of(&self, route: &PublishedRoute) -> Option<Arc<ServiceGate>> {
+    fn dispatcher_for(&self, route: &PublishedRoute) -> Option<Arc<ServiceDispatcher>> {
         let (splits, rng) = &mut *self.splits.lock();
         let destination = splits.next(route, || rng.random())?;
         self.services.get(&destination.service)
     }
 }
 
-/// Logs a refusal of a request that went to no service, and gives its response.
+/// Logs the refusal of a request that was assigned to no service, and returns the response.
 fn refuse(
-    message: &Request,
+    request: &Request,
     headers: HeaderNames,
     failure: Failure,
     retry_after: Option<Millis>,
 ) -> Response {
     info!(
-        attempt = message.headers.text(headers.attempt).unwrap_or("-"), method = message.method,
-        path = message.path, reason:% = failure, not_run = failure.is_not_run();
+        attempt = request.headers.text(headers.attempt).unwrap_or("-"), method = request.method,
+        path = request.path, reason:% = failure, not_run = failure.is_not_run();
         "request refused"
     );
     failure.to_response(retry_after)
 }
 
-/// Digest that identifies a request across its resends, whose attempt ids differ.
-pub fn digest_of(message: &Request) -> BodyDigest {
+/// Digest that identifies a request across the attempts of its caller, whose attempt ids differ.
+pub fn request_digest(request: &Request) -> BodyDigest {
     let mut hasher = Sha256::new();
-    let host = message.headers.get("Host").unwrap_or_default();
+    let host = request.headers.get("Host").unwrap_or_default();
     for part in [
         host,
-        message.method.as_bytes(),
-        message.path.as_bytes(),
-        &message.body,
+        request.method.as_bytes(),
+        request.path.as_bytes(),
+        &request.body,
     ] {
-        // The length keeps the boundary between two parts from shifting.
+        // The length prefix keeps requests apart whose parts are divided differently.
         hasher.update((part.len() as u64).to_be_bytes());
         hasher.update(part);
     }
     BodyDigest(hasher.finalize().into())
 }
 
-/// Serves callers of a shared gateway.
+/// The [`Service`] that forwards the requests of callers through a shared gateway.
 pub struct CallerService(pub Arc<Gateway>);
 
 impl Service for CallerService {
--- a/crates/auburnbridge_gateway/src/lib.rs
+++ b/crates/auburnbridge_gateway/src/lib.rs
@@ -1,23 +1,23 @@
-//! The gateway: forwards requests along published routes, without keys of callers.
+//! The gateway: forwards requests from callers to targets along published routes.
 //!
-//! Where callers give no idempotency key, at most once is a promise of the one gateway that a
-//! request reaches: it sends the request to another target only if the earlier one certainly didn't
-//! run it. The gateway follows the keepers for its routes and targets, and tells the other gateways
-//! what it finds out about targets.
+//! Callers send no idempotency key, so at-most-once execution is guaranteed by the one gateway that
+//! receives a request: it retries on another target only if the previous target certainly did not
+//! run the request. The gateway watches the keepers for routes and targets, and reports its findings
+//! about targets to the other gateways.
 
-mod answer;
 mod exchange;
+mod failure;
 mod feed;
 mod forward;
-mod gate;
 mod gateway;
 mod neighbours;
 mod run;
+mod service_dispatcher;
 mod service_table;
 
 pub use feed::Feed;
-pub use gate::{Assignment, ServiceGate};
-pub use gateway::{CallerService, Gateway, GatewayPorts, digest_of};
+pub use gateway::{CallerService, Gateway, GatewayDependencies, request_digest};
 pub use neighbours::{GatewayReport, Neighbours};
 pub use run::{GatewayError, GatewayOptions, RunningGateway};
+pub use service_dispatcher::{Assignment, ServiceDispatcher};
 pub use service_table::ServiceTable;
--- a/crates/auburnbridge_gateway/src/neighbours.rs
+++ b/crates/auburnbridge_gateway/src/neighbours.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other, in datagrams that may be lost.
+//! Reports between gateways, in UDP datagrams that may be lost.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -17,39 +17,41 @@
 
 use crate::gateway::Gateway;
 
-/// Longest datagram; a larger one would be fragmented.
+/// Maximum datagram size. A larger datagram would be fragmented.
 const DATAGRAM_LIMIT: ByteSize = ByteSize(1_400);
-/// Room for a received datagram, above the limit so that a longer one is seen to be longer.
-const RECEIVE_BYTES: usize = 2_800;
-/// Findings in one datagram.
-const MOST_FINDINGS: usize = 64;
-/// Targets with requests in flight in one datagram.
-const MOST_LOADS: usize = 128;
-/// Interval of the reports of requests in flight within a data centre.
-const NEAR_INTERVAL: Millis = Millis(100);
-/// Reports within a data centre for each one to the others, whose targets are used as a reserve.
-const REPORTS_PER_FAR: u32 = 8;
-/// Interval of the reports to all while a service is crowded, for so many gateways; it grows with
-/// their number.
-const CROWDED_INTERVAL: Millis = Millis(40);
-const CROWDED_GATEWAYS: u64 = 16;
-/// Pause between two datagrams with findings, which gathers those of one event.
-const GATHER: Millis = Millis(2);
-
-/// What one gateway tells the others.
+/// Receive buffer size. It exceeds the limit so that an oversized datagram is detected, not truncated.
+const RECEIVE_BUFFER_BYTES: usize = 2_800;
+/// Maximum number of findings in one datagram.
+const MAX_FINDINGS: usize = 64;
+/// Maximum number of targets whose in-flight requests are reported in one datagram.
+const MAX_LOADS: usize = 128;
+/// Interval of load reports to gateways of the same data centre.
+const LOCAL_REPORT_INTERVAL: Millis = Millis(100);
+/// Load reports to the same data centre for each one to other data centres, whose targets serve only
+/// as a reserve.
+const LOCAL_REPORTS_PER_REMOTE: u32 = 8;
+/// Interval of load reports to all gateways while a service is crowded, for up to
+/// [`GATEWAYS_PER_CROWDED_INTERVAL`] gateways; it grows with their number.
+const CROWDED_REPORT_INTERVAL: Millis = Millis(40);
+/// Number of gateways per step of [`CROWDED_REPORT_INTERVAL`].
+const GATEWAYS_PER_CROWDED_INTERVAL: u64 = 16;
+/// Delay before findings are sent, which batches those of one event.
+const BATCH_DELAY: Millis = Millis(2);
+
+/// Report of one gateway to the others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GatewayReport {
-    /// The sender's VM.
+    /// VM of the sender.
     pub from: VmId,
-    /// What it found out about targets.
+    /// Findings about targets.
     pub findings: Vec<ReportedFinding>,
     /// Requests that crashed a target.
     pub crashes: Vec<CrashReport>,
-    /// What it has in flight, in some of the reports.
+    /// In-flight requests by target; absent if the report carries only findings and crashes.
     pub load: Option<LoadReport>,
 }
 
-/// The other gateways.
+/// Exchanges reports with the other gateways.
 pub struct Neighbours {
     vm: VmId,
     data_centre: DataCentre,
@@ -58,7 +60,11 @@
 }
 
 impl Neighbours {
-    /// Binds the socket for datagrams of other gateways.
+    /// Binds the UDP socket for reports of other gateways.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address can't be bound.
     pub async fn bind(
         vm: VmId,
         data_centre: DataCentre,
@@ -72,7 +78,7 @@
         })
     }
 
-    /// Takes over the gateways that are running; gives those that are not this one.
+    /// Replaces the set of running gateways, and returns all of them but this one.
     pub fn set_gateways(&self, mut gateways: Vec<GatewayLocation>) -> Vec<GatewayPlace> {
         gateways.retain(|gateway| gateway.vm != self.vm);
         let places = gateways
@@ -86,113 +92,118 @@
         places
     }
 
-    /// Takes in the reports of the others until the process ends.
+    /// Applies the reports of other gateways until the process ends.
     pub async fn receive(self: Arc<Self>, gateway: Arc<Gateway>) {
-        let mut buf = vec![0; RECEIVE_BYTES];
+        let mut buf = vec![0; RECEIVE_BUFFER_BYTES];
         loop {
             let length = match self.socket.recv_from(&mut buf).await {
                 Ok((length, _)) => length,
                 Err(error) => {
-                    // A datagram to a gateway that has ended comes back as an error.
-                    debug!("can't receive a datagram: {error}");
-                    gateway.clock.sleep(GATHER).await;
+                    // A datagram sent to a gateway that has ended makes a later receive fail.
+                    debug!("failed to receive a datagram: {error}");
+                    gateway.clock.sleep(BATCH_DELAY).await;
                     continue;
                 }
             };
             match codec::decode::<GatewayReport>(&buf[..length], DATAGRAM_LIMIT) {
-                Ok(report) => take(&gateway, report),
-                Err(error) => debug!("refused a datagram: {error}"),
+                Ok(report) => apply(&gateway, report),
+                Err(error) => debug!("discarded an invalid datagram: {error}"),
             }
         }
     }
 
-    /// Tells the others of findings at once and of requests in flight at intervals.
-    pub async fn tell(self: Arc<Self>, gateway: Arc<Gateway>) {
-        let mut turn: u32 = 0;
+    /// Reports findings to the other gateways immediately, and in-flight requests at intervals.
+    pub async fn broadcast(self: Arc<Self>, gateway: Arc<Gateway>) {
+        let mut reports_made: u32 = 0;
         let mut next_report = gateway.clock.now();
         let mut is_crowded = false;
-        let mut told: HashSet<VmId> = HashSet::new();
+        let mut sent_load_to: HashSet<VmId> = HashSet::new();
         loop {
-            let news = gateway.news.listen();
+            let urgent_report = gateway.urgent_report.listen();
             let now = gateway.clock.now();
             let wait = next_report.since(now);
             if wait > Millis(0) {
-                let is_news = async {
-                    news.await;
+                let is_urgent = async {
+                    urgent_report.await;
                     true
                 };
                 let is_due = async {
                     gateway.clock.sleep(wait).await;
                     false
                 };
-                if is_news.or(is_due).await {
-                    gateway.clock.sleep(GATHER).await;
+                if is_urgent.or(is_due).await {
+                    gateway.clock.sleep(BATCH_DELAY).await;
                 }
             }
             let now = gateway.clock.now();
             let load = (now >= next_report).then(|| {
                 is_crowded = gateway
                     .services
-                    .gates()
+                    .dispatchers()
                     .iter()
-                    .any(|gate| gate.is_crowded());
+                    .any(|dispatcher| dispatcher.is_crowded());
                 next_report = now.after(self.interval(is_crowded));
-                turn = turn.wrapping_add(1);
-                load_of(&gateway)
+                reports_made = reports_made.wrapping_add(1);
+                load_report(&gateway)
             });
-            let is_far_turn = is_crowded || turn.is_multiple_of(REPORTS_PER_FAR);
-            self.send_reports(&gateway, load, is_far_turn, &mut told)
+            let includes_remote =
+                is_crowded || reports_made.is_multiple_of(LOCAL_REPORTS_PER_REMOTE);
+            self.send_reports(&gateway, load, includes_remote, &mut sent_load_to)
                 .await;
         }
     }
 
     fn interval(&self, is_crowded: bool) -> Millis {
         if !is_crowded {
-            return NEAR_INTERVAL;
+            return LOCAL_REPORT_INTERVAL;
         }
         let gateways = self.others.lock().len() as u64 + 1;
-        Millis(CROWDED_INTERVAL.0 * gateways.div_ceil(CROWDED_GATEWAYS))
+        Millis(CROWDED_REPORT_INTERVAL.0 * gateways.div_ceil(GATEWAYS_PER_CROWDED_INTERVAL))
     }
 
     async fn send_reports(
         &self,
         gateway: &Gateway,
         load: Option<LoadReport>,
-        is_far_turn: bool,
-        told: &mut HashSet<VmId>,
+        includes_remote: bool,
+        sent_load_to: &mut HashSet<VmId>,
     ) {
         let mut findings: Vec<ReportedFinding> = gateway
             .services
-            .gates()
+            .dispatchers()
             .iter()
-            .flat_map(|gate| gate.take_unreported())
+            .flat_map(|dispatcher| dispatcher.take_unreported())
             .collect();
-        shorten(&mut findings, MOST_FINDINGS, "findings");
+        truncate_list(&mut findings, MAX_FINDINGS, "findings");
         let mut report = GatewayReport {
             from: self.vm.clone(),
             findings,
             crashes: gateway.take_unreported_crashes(),
             load: None,
         };
-        let has_news = !report.findings.is_empty() || !report.crashes.is_empty();
+        let has_urgent = !report.findings.is_empty() || !report.crashes.is_empty();
         let has_load = load.as_ref().is_some_and(|load| !load.in_flight.is_empty());
-        // All gateways get one of these two, so each is encoded once.
-        let news = has_news.then(|| encode(&report)).flatten();
+        // Every gateway gets one of these two datagrams, so each is encoded only once.
+        let urgent_datagram = has_urgent.then(|| encode(&report)).flatten();
         let is_due = load.is_some();
         report.load = load;
-        let news_and_load = is_due.then(|| encode(&report)).flatten();
+        let full_datagram = is_due.then(|| encode(&report)).flatten();
         let others = self.others.lock().clone();
         for other in others {
-            let is_near = other.data_centre == self.data_centre;
-            let is_in_turn = is_due && (is_near || is_far_turn);
-            // An empty report is news only after one that was not.
-            let gets_load = is_in_turn && (has_load || told.contains(&other.vm));
+            let is_local = other.data_centre == self.data_centre;
+            let is_scheduled = is_due && (is_local || includes_remote);
+            // An empty load report is sent only once after a non-empty one, to withdraw it.
+            let gets_load = is_scheduled && (has_load || sent_load_to.contains(&other.vm));
             if gets_load && has_load {
-                told.insert(other.vm.clone());
+                sent_load_to.insert(other.vm.clone());
             } else if gets_load {
-                told.remove(&other.vm);
+                sent_load_to.remove(&other.vm);
             }
-            let datagram = if gets_load { &news_and_load } else { &news };
+            let datagram = if gets_load {
+                &full_datagram
+            } else {
+                &urgent_datagram
+            };
             if let Some(datagram) = datagram {
                 self.send(other.address, datagram).await;
             }
@@ -201,7 +212,7 @@
 
     async fn send(&self, to: SocketAddr, datagram: &[u8]) {
         if let Err(error) = self.socket.send_to(datagram, to).await {
-            debug!("can't send a datagram to {to}: {error}");
+            debug!("failed to send a datagram to {to}: {error}");
         }
     }
 }
@@ -212,29 +223,29 @@
         .ok()
 }
 
-/// Drops what has no room in a datagram; the log says so, since other gateways don't hear of it.
-fn shorten<T>(list: &mut Vec<T>, most: usize, what: &str) {
-    if list.len() > most {
-        warn!(what = what, dropped = list.len() - most; "report shortened");
-        list.truncate(most);
+/// Drops the elements that don't fit into a datagram. Logged, since the other gateways miss them.
+fn truncate_list<T>(list: &mut Vec<T>, max_len: usize, what: &str) {
+    if list.len() > max_len {
+        warn!(what = what, dropped = list.len() - max_len; "report shortened");
+        list.truncate(max_len);
     }
 }
 
-fn load_of(gateway: &Gateway) -> LoadReport {
+fn load_report(gateway: &Gateway) -> LoadReport {
     let mut in_flight: Vec<_> = gateway
         .services
-        .gates()
+        .dispatchers()
         .iter()
-        .flat_map(|gate| gate.load_report().in_flight)
+        .flat_map(|dispatcher| dispatcher.load_report().in_flight)
         .collect();
-    shorten(&mut in_flight, MOST_LOADS, "requests in flight");
+    truncate_list(&mut in_flight, MAX_LOADS, "requests in flight");
     LoadReport { in_flight }
 }
 
-fn take(gateway: &Gateway, report: GatewayReport) {
+fn apply(gateway: &Gateway, report: GatewayReport) {
     gateway
         .services
-        .hear(&report.from, &report.findings, report.load.as_ref());
+        .apply_report(&report.from, &report.findings, report.load.as_ref());
     for crash in report.crashes {
         gateway.record_crash(crash);
     }
--- a/crates/auburnbridge_gateway/src/run.rs
+++ b/crates/auburnbridge_gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a gateway as a process.
+//! Startup, maintenance and shutdown of a gateway process.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -26,78 +26,80 @@
 use parking_lot::Mutex;
 
 use crate::feed::Feed;
-use crate::gateway::{CallerService, Gateway, GatewayPorts};
+use crate::gateway::{CallerService, Gateway, GatewayDependencies};
 use crate::neighbours::Neighbours;
 use crate::service_table::ServiceTable;
 
-/// Requests of one connection that are handled at the same time.
+/// Maximum number of pipelined requests of one connection that are handled concurrently.
 const PIPELINE_DEPTH: usize = 16;
-/// Longest wait for a connection to a target; within a region a round trip takes a few milliseconds,
-/// and a lost packet is sent again after a second, when another target is the better choice.
+/// Timeout for connecting to a target. A round trip within a region takes a few milliseconds, and a
+/// lost packet is retransmitted only after a second, by when another target is the better choice.
 const CONNECT_TIMEOUT: Millis = Millis(120);
-/// Idle time after which a connection carries no request that must not be sent twice. Targets may
-/// drop idle connections unannounced after a third of a second.
-const ONCE_FRESHNESS: Millis = Millis(200);
-/// Idle time after which a connection to a target is closed; targets close theirs after ten seconds.
-const POOL_IDLE: Millis = Millis(4_000);
-/// Longest wait for a connection to a keeper; another one may be there.
+/// Longest idle time of a connection that is reused for an at-most-once request. Targets may drop
+/// idle connections silently after a third of a second.
+const ONCE_MAX_IDLE: Millis = Millis(200);
+/// Idle time after which the gateway closes a connection to a target. Targets close idle connections
+/// after ten seconds.
+const POOL_IDLE_TIMEOUT: Millis = Millis(4_000);
+/// Timeout for connecting to a keeper. It is short because another keeper may be reachable.
 const KEEPER_CONNECT_TIMEOUT: Millis = Millis(300);
-/// Waits between attempts to connect to one keeper.
-const KEEPER_FIRST_BACKOFF: Millis = Millis(20);
-const KEEPER_LAST_BACKOFF: Millis = Millis(200);
-/// Interval at which idle connections and waiting requests are looked after.
+/// First delay before another attempt to connect to the same keeper.
+const KEEPER_MIN_BACKOFF: Millis = Millis(20);
+/// Longest delay between two attempts to connect to the same keeper.
+const KEEPER_MAX_BACKOFF: Millis = Millis(200);
+/// Interval of the maintenance loop, which starts waiting requests and closes idle connections.
 const MAINTENANCE_INTERVAL: Millis = Millis(50);
-/// Turns of that interval between two looks at idle connections.
-const POOL_TURNS: u32 = 20;
+/// Maintenance intervals from one cleanup of idle connections to the next.
+const TICKS_PER_POOL_CLEANUP: u32 = 20;
 
-/// What a gateway needs to run.
+/// Settings of a gateway process.
 #[derive(Clone)]
 pub struct GatewayOptions {
-    /// Its VM, named by its IP address.
+    /// VM that the gateway runs on, named by its IP address.
     pub vm: VmId,
-    /// Its data centre.
+    /// Data centre that the gateway runs in.
     pub data_centre: DataCentre,
-    /// Where it listens for callers.
+    /// Address on which the gateway accepts callers.
     pub caller_address: SocketAddr,
-    /// Where it answers readiness checks.
+    /// Address on which the gateway answers readiness checks.
     pub readiness_address: SocketAddr,
-    /// Where it takes datagrams of other gateways.
+    /// UDP address on which the gateway receives reports of other gateways.
     pub peer_address: SocketAddr,
-    /// Keepers to begin with; they may be replaced while the gateway runs.
+    /// Keepers to contact first; the list may be replaced while the gateway runs.
     pub seeds: Arc<Mutex<Vec<IpAddr>>>,
-    /// Port at which keepers serve other processes.
+    /// Port on which keepers serve other processes.
     pub keeper_port: u16,
-    /// Names and formats of the platform.
+    /// Header names, paths and document formats of the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// Time that the balancer needs to notice that the gateway isn't ready.
+    /// Time that the load balancer needs to notice that the gateway is not ready.
     pub balancer_lag: Millis,
-    /// Longest time for requests in flight to end after that.
+    /// Longest time that in-flight requests get to complete after `balancer_lag`.
     pub shutdown_limit: Millis,
-    /// Memory for the bodies of all requests and answers.
+    /// Memory budget for the bodies of all requests and responses.
     pub body_memory: ByteSize,
-    /// Most connections to one target.
+    /// Maximum number of connections to one target.
     pub connections_per_target: usize,
-    /// Share of the targets that get work even if they are suspected.
+    /// Share of the targets that receive requests even if they are suspected to be failing.
     pub floor_share: f64,
-    /// Bounds of the sends beyond the first one of each request.
+    /// Budget for retries and hedged requests, that is, for sends beyond the first one of a request.
     pub sends: SendBudgetOptions,
-    /// Where the metrics are served, if anywhere.
+    /// Address on which metrics are served; `None` serves none.
     pub metrics_address: Option<SocketAddr>,
 }
 
-/// Reason why a gateway can't start.
+/// Error from [`RunningGateway::start`]; its report names the address that could not be bound.
 #[derive(Debug)]
 pub struct GatewayError;
 
 impl fmt::Display for GatewayError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the gateway can't run")
+        f.write_str("failed to start the gateway")
     }
 }
 
 impl std::error::Error for GatewayError {}
 
-/// A running gateway.
+/// Handle of a running gateway, which stops it gracefully.
 pub struct RunningGateway {
     lifecycle: Arc<Lifecycle>,
     clock: Arc<dyn Clock>,
@@ -106,11 +108,16 @@
 }
 
 impl RunningGateway {
-    /// Starts to listen; the gateway is ready once a keeper has brought it up to date.
+    /// Binds all listeners and starts the background tasks. The gateway reports itself ready once it
+    /// has a configuration and either targets or an up-to-date keeper.
+    ///
+    /// # Errors
+    ///
+    /// Fails if one of the addresses can't be bound.
     pub async fn start(options: GatewayOptions) -> Result<Self, Report<GatewayError>> {
         let clock: Arc<dyn Clock> = Arc::new(BootClock::new());
         let lifecycle = Arc::new(Lifecycle::default());
-        let gateway = Arc::new(make_gateway(&options, &clock));
+        let gateway = Arc::new(build_gateway(&options, &clock));
         let neighbours = Neighbours::bind(
             options.vm.clone(),
             options.data_centre.clone(),
@@ -120,14 +127,14 @@
         .change_context(GatewayError)
         .attach_with(|| format!("can't listen on UDP {}", options.peer_address))?;
         let neighbours = Arc::new(neighbours);
-        let feed = Arc::new(make_feed(&options, &gateway, &neighbours, &clock));
+        let feed = Arc::new(build_feed(&options, &gateway, &neighbours, &clock));
         let readiness = Arc::new(Readiness {
             gateway: Arc::clone(&gateway),
             feed: Arc::clone(&feed),
             lifecycle: Arc::clone(&lifecycle),
             path: options.dialect.readiness_path(),
         });
-        // Readiness is answered to the end, also while requests are finished.
+        // The readiness listener has its own lifecycle, so that it keeps answering while requests drain.
         listen(
             options.readiness_address,
             readiness,
@@ -163,7 +170,7 @@
         );
         task::spawn(feed.run());
         task::spawn(Arc::clone(&neighbours).receive(Arc::clone(&gateway)));
-        task::spawn(neighbours.tell(Arc::clone(&gateway)));
+        task::spawn(neighbours.broadcast(Arc::clone(&gateway)));
         task::spawn(maintain(gateway));
         Ok(Self {
             lifecycle,
@@ -173,7 +180,8 @@
         })
     }
 
-    /// Stops gracefully; gives the number of requests that were still in flight at the limit.
+    /// Stops gracefully and returns the number of requests that were still in flight at the shutdown
+    /// limit.
     pub async fn stop(self) -> usize {
         info!(phase = "draining", in_flight = self.lifecycle.in_flight(); "shutdown");
         self.lifecycle.begin_draining();
@@ -187,8 +195,8 @@
     }
 }
 
-fn make_gateway(options: &GatewayOptions, clock: &Arc<dyn Clock>) -> Gateway {
-    let gates = DispatcherOptions {
+fn build_gateway(options: &GatewayOptions, clock: &Arc<dyn Clock>) -> Gateway {
+    let dispatcher_options = DispatcherOptions {
         balancer: BalancerOptions {
             own: GatewayPlace {
                 vm: options.vm.clone(),
@@ -202,12 +210,12 @@
     };
     let pool = Pool::builder(Arc::clone(clock))
         .connect_timeout(CONNECT_TIMEOUT)
-        .idle_timeout(POOL_IDLE)
-        .freshness(ONCE_FRESHNESS)
+        .idle_timeout(POOL_IDLE_TIMEOUT)
+        .freshness(ONCE_MAX_IDLE)
         .connections_per_target(options.connections_per_target)
         .echo_header(options.dialect.headers().attempt)
         .build();
-    let ports = GatewayPorts {
+    let dependencies = GatewayDependencies {
         clock: Arc::clone(clock),
         dialect: Arc::clone(&options.dialect),
         pool,
@@ -215,10 +223,13 @@
         metrics: Arc::default(),
         seed: rand::random(),
     };
-    Gateway::new(ServiceTable::new(Arc::clone(clock), gates), ports)
+    Gateway::new(
+        ServiceTable::new(Arc::clone(clock), dispatcher_options),
+        dependencies,
+    )
 }
 
-fn make_feed(
+fn build_feed(
     options: &GatewayOptions,
     gateway: &Arc<Gateway>,
     neighbours: &Arc<Neighbours>,
@@ -232,8 +243,8 @@
         .message_limit(MESSAGE_LIMIT)
         .clock(Arc::clone(clock))
         .connect_timeout(KEEPER_CONNECT_TIMEOUT)
-        .first_backoff(KEEPER_FIRST_BACKOFF)
-        .last_backoff(KEEPER_LAST_BACKOFF)
+        .first_backoff(KEEPER_MIN_BACKOFF)
+        .last_backoff(KEEPER_MAX_BACKOFF)
         .build();
     let transport: Arc<dyn Transport> = Arc::new(PlainTransport::new(identity, peer_options));
     Feed {
@@ -246,8 +257,8 @@
         keeper_port: options.keeper_port,
         address: options.peer_address,
         data_centre: options.data_centre.clone(),
-        is_current: AtomicBool::new(false),
-        known: Mutex::new(BTreeSet::new()),
+        has_synced: AtomicBool::new(false),
+        known_keepers: Mutex::new(BTreeSet::new()),
     }
 }
 
@@ -265,19 +276,19 @@
     Ok(())
 }
 
-/// Starts requests for which others have made room, and closes idle connections.
+/// Starts waiting requests for which a slot became free, and closes idle connections.
 async fn maintain(gateway: Arc<Gateway>) {
-    let mut turn: u32 = 0;
+    let mut tick: u32 = 0;
     loop {
-        for gate in gateway.services().gates() {
-            if gate.waiting() > 0 {
-                gate.start_waiting();
+        for dispatcher in gateway.services().dispatchers() {
+            if dispatcher.waiting() > 0 {
+                dispatcher.start_waiting();
             }
         }
-        if turn.is_multiple_of(POOL_TURNS) {
+        if tick.is_multiple_of(TICKS_PER_POOL_CLEANUP) {
             gateway.pool.close_expired();
         }
-        turn = turn.wrapping_add(1);
+        tick = tick.wrapping_add(1);
         gateway.clock.sleep(MAINTENANCE_INTERVAL).await;
     }
 }
@@ -298,7 +309,7 @@
         if self.gateway.routes().is_none() {
             return Err("no configuration has arrived yet");
         }
-        if !self.feed.is_current() && self.gateway.services().targets() == 0 {
+        if !self.feed.has_synced() && self.gateway.services().targets() == 0 {
             return Err("neither targets nor a keeper that is up to date are known yet");
         }
         Ok(())
--- /dev/null
+++ b/crates/auburnbridge_gateway/src/service_dispatcher.rs
@@ -0,0 +1,240 @@
+//! Assignment of the requests of one service to its targets.
+//!
+//! A [`Dispatcher`] makes the decisions; this module adds asynchronous waiting. The lock of the
+//! dispatcher is never held across an await.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use async_channel::Sender;
+use auburnbridge_policy::balance::{
+    AnswerTimes, BalancedKey, BalancedMember, Dispatcher, DispatcherOptions, Finding, GatewayPlace,
+    LoadReport, Need, Pick, Placement, Refusal, ReportedFinding, WaitingKey,
+};
+use auburnbridge_types::{Clock, Millis, ServiceName, TargetId, VmId};
+use futures_lite::FutureExt;
+use parking_lot::Mutex;
+
+/// Assigns requests to the targets of one service.
+pub struct ServiceDispatcher {
+    name: ServiceName,
+    clock: Arc<dyn Clock>,
+    inner: Mutex<Dispatcher<Sender<Assignment>>>,
+}
+
+/// A target picked for one request. Dropping it ends the request on the target without a finding.
+pub struct Assignment {
+    dispatcher: Arc<ServiceDispatcher>,
+    pick: Pick,
+    is_finished: bool,
+}
+
+impl Assignment {
+    /// Handle of the target in the dispatcher.
+    pub fn key(&self) -> BalancedKey {
+        self.pick.key
+    }
+
+    /// Id of the target.
+    pub fn target(&self) -> &TargetId {
+        &self.pick.target
+    }
+
+    /// Address on which the target accepts requests.
+    pub fn address(&self) -> SocketAddr {
+        self.pick.address
+    }
+
+    /// The pick with its load and suspicion, for the log.
+    pub fn pick(&self) -> &Pick {
+        &self.pick
+    }
+
+    /// Ends the request on the target, with what it revealed about the target's health, if anything.
+    pub fn finish(mut self, finding: Option<Finding>) {
+        self.is_finished = true;
+        self.dispatcher.finish(self.pick.key, finding);
+    }
+}
+
+impl Drop for Assignment {
+    fn drop(&mut self) {
+        if !self.is_finished {
+            self.dispatcher.finish(self.pick.key, None);
+        }
+    }
+}
+
+/// Removes a waiting request from the queue when its future is dropped.
+struct QueueGuard<'a> {
+    dispatcher: &'a ServiceDispatcher,
+    key: WaitingKey,
+}
+
+impl Drop for QueueGuard<'_> {
+    fn drop(&mut self) {
+        self.dispatcher.inner.lock().leave(self.key);
+    }
+}
+
+impl ServiceDispatcher {
+    /// Creates the dispatcher of a service without targets.
+    pub fn new(name: ServiceName, options: &DispatcherOptions, clock: Arc<dyn Clock>) -> Self {
+        Self {
+            name,
+            clock,
+            inner: Mutex::new(Dispatcher::new(options)),
+        }
+    }
+
+    /// Name of the service.
+    pub fn name(&self) -> &ServiceName {
+        &self.name
+    }
+
+    /// Replaces the set of targets that accept requests.
+    pub fn set_members(self: &Arc<Self>, members: &[BalancedMember]) {
+        let now = self.clock.now();
+        self.inner.lock().set_members(now, members);
+        self.start_waiting();
+    }
+
+    /// Replaces the set of other gateways.
+    pub fn set_gateways(&self, others: &[GatewayPlace]) {
+        self.inner.lock().set_gateways(others);
+    }
+
+    /// Counts the arrival of a request with this priority rank.
+    pub(crate) fn record_request(&self, rank: u32) {
+        let now = self.clock.now();
+        self.inner.lock().record_request(now, rank);
+    }
+
+    /// Consumes one retry or hedged request from the send budget; `false` if the budget is used up.
+    pub(crate) fn try_take_resend(&self) -> bool {
+        let now = self.clock.now();
+        self.inner.lock().try_send_again(now)
+    }
+
+    /// Adds a response time to the service's average and classifies the response.
+    pub(crate) fn record_response_time(&self, time: Millis, was_silent: bool) -> Finding {
+        self.inner.lock().judge_answer(time, was_silent)
+    }
+
+    /// Average response time of the service, and the timeouts derived from it.
+    pub(crate) fn answer_times(&self) -> AnswerTimes {
+        self.inner.lock().answer_times()
+    }
+
+    /// The refusal for a request of this rank, which states when to retry.
+    pub(crate) fn refusal(&self, rank: u32) -> Refusal {
+        let now = self.clock.now();
+        self.inner.lock().refusal(now, rank)
+    }
+
+    /// Waits for a target. Dropping the future removes the request from the queue.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`Refusal`] if no target can serve the request in time.
+    pub(crate) async fn acquire(self: &Arc<Self>, need: Need<'_>) -> Result<Assignment, Refusal> {
+        let (tx, rx) = async_channel::bounded(1);
+        let now = self.clock.now();
+        let placement = self.inner.lock().place(now, &need, || tx);
+        let (key, longest) = match placement {
+            Placement::Start(pick) => return Ok(self.assignment(pick)),
+            Placement::Refuse(refusal) => return Err(refusal),
+            Placement::Wait { key, longest } => (key, longest),
+        };
+        let guard = QueueGuard {
+            dispatcher: self,
+            key,
+        };
+        let assigned = async { rx.recv().await.ok() };
+        let timed_out = async {
+            self.clock.sleep(longest).await;
+            None
+        };
+        if let Some(assignment) = assigned.or(timed_out).await {
+            return Ok(assignment);
+        }
+        drop(guard);
+        // A target may have been assigned between the timeout and the removal from the queue.
+        rx.try_recv().map_err(|_| self.refusal(need.rank))
+    }
+
+    /// Picks a target that has a free slot right now, without waiting.
+    pub(crate) fn try_acquire(self: &Arc<Self>, need: &Need<'_>) -> Option<Assignment> {
+        let now = self.clock.now();
+        let pick = self.inner.lock().pick_free(now, need)?;
+        Some(self.assignment(pick))
+    }
+
+    /// Records a finding about the target of a request that is still in flight.
+    pub(crate) fn observe(&self, key: BalancedKey, finding: Finding) {
+        let now = self.clock.now();
+        self.inner.lock().observe(now, key, finding);
+    }
+
+    fn assignment(self: &Arc<Self>, pick: Pick) -> Assignment {
+        Assignment {
+            dispatcher: Arc::clone(self),
+            pick,
+            is_finished: false,
+        }
+    }
+
+    fn finish(self: &Arc<Self>, key: BalancedKey, finding: Option<Finding>) {
+        let now = self.clock.now();
+        self.inner.lock().finish(now, key, finding);
+        self.start_waiting();
+    }
+
+    /// Starts the waiting requests for which there is a free slot.
+    pub fn start_waiting(self: &Arc<Self>) {
+        loop {
+            let now = self.clock.now();
+            let next = self.inner.lock().next_start(now);
+            let Some((start, pick)) = next else {
+                return;
+            };
+            // If the request was cancelled, its assignment is dropped here, after the lock's release.
+            drop(start.try_send(self.assignment(pick)));
+        }
+    }
+
+    /// Applies findings of another gateway.
+    pub fn apply_findings(&self, findings: &[ReportedFinding]) {
+        let now = self.clock.now();
+        self.inner.lock().hear_findings(now, findings);
+    }
+
+    /// Applies another gateway's report of its in-flight requests.
+    pub fn apply_load_report(self: &Arc<Self>, from: &VmId, report: LoadReport) {
+        let now = self.clock.now();
+        self.inner.lock().hear_load(now, from, report);
+        self.start_waiting();
+    }
+
+    /// Takes the findings that have not been reported to the other gateways yet.
+    pub fn take_unreported(&self) -> Vec<ReportedFinding> {
+        self.inner.lock().take_unreported()
+    }
+
+    /// In-flight requests of this gateway, by target.
+    pub fn load_report(&self) -> LoadReport {
+        let now = self.clock.now();
+        self.inner.lock().load_report(now)
+    }
+
+    /// Whether most slots are in use.
+    pub fn is_crowded(&self) -> bool {
+        let now = self.clock.now();
+        self.inner.lock().is_crowded(now)
+    }
+
+    /// Number of waiting requests.
+    pub fn waiting(&self) -> usize {
+        self.inner.lock().waiting()
+    }
+}
--- a/crates/auburnbridge_gateway/src/service_table.rs
+++ b/crates/auburnbridge_gateway/src/service_table.rs
@@ -1,4 +1,4 @@
-//! The gates of all services, and the targets that the keepers told of.
+//! The dispatchers of all services, and the targets that the keepers reported.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,17 +12,17 @@
 use auburnbridge_types::{Clock, Incarnation, ServiceName, VmId};
 use parking_lot::{Mutex, RwLock};
 
-use crate::gate::ServiceGate;
+use crate::service_dispatcher::ServiceDispatcher;
 
-/// The services of one gateway.
+/// Dispatchers of one gateway, by service.
 ///
-/// Lock order: `members`, then `other_gateways`, then `gates`, then the state of one gate.
+/// Lock order: `members`, then `other_gateways`, then `dispatchers`, then the state of one dispatcher.
 pub struct ServiceTable {
     clock: Arc<dyn Clock>,
     options: DispatcherOptions,
     members: Mutex<Members>,
     other_gateways: Mutex<Vec<GatewayPlace>>,
-    gates: RwLock<HashMap<ServiceName, Arc<ServiceGate>>>,
+    dispatchers: RwLock<HashMap<ServiceName, Arc<ServiceDispatcher>>>,
 }
 
 impl ServiceTable {
@@ -33,87 +33,95 @@
             options,
             members: Mutex::default(),
             other_gateways: Mutex::default(),
-            gates: RwLock::default(),
+            dispatchers: RwLock::default(),
         }
     }
 
-    /// The gate of a service.
-    pub fn get(&self, service: &ServiceName) -> Option<Arc<ServiceGate>> {
-        self.gates.read().get(service).cloned()
+    /// The dispatcher of a service, if the service is configured.
+    pub fn get(&self, service: &ServiceName) -> Option<Arc<ServiceDispatcher>> {
+        self.dispatchers.read().get(service).cloned()
     }
 
-    /// Every gate.
-    pub fn gates(&self) -> Vec<Arc<ServiceGate>> {
-        self.gates.read().values().cloned().collect()
+    /// The dispatchers of all services.
+    pub fn dispatchers(&self) -> Vec<Arc<ServiceDispatcher>> {
+        self.dispatchers.read().values().cloned().collect()
     }
 
-    /// Takes over the services of new routes. A gate whose service was removed ends with its last
-    /// request.
+    /// Adds and removes dispatchers to match the services of `routes`. The dispatcher of a removed
+    /// service is dropped after its last request.
     pub fn apply_routes(&self, routes: &RouteSet) {
         let members = self.members.lock();
         {
             let other_gateways = self.other_gateways.lock();
-            let mut gates = self.gates.write();
-            gates.retain(|name, _| routes.service(name).is_some());
+            let mut dispatchers = self.dispatchers.write();
+            dispatchers.retain(|name, _| routes.service(name).is_some());
             for service in routes.services() {
-                gates.entry(service.name.clone()).or_insert_with(|| {
+                dispatchers.entry(service.name.clone()).or_insert_with(|| {
                     let clock = Arc::clone(&self.clock);
-                    let gate = ServiceGate::new(service.name.clone(), &self.options, clock);
-                    gate.set_gateways(&other_gateways);
-                    Arc::new(gate)
+                    let dispatcher =
+                        ServiceDispatcher::new(service.name.clone(), &self.options, clock);
+                    dispatcher.set_gateways(&other_gateways);
+                    Arc::new(dispatcher)
                 });
             }
         }
-        self.place(&members);
+        self.update_dispatchers(&members);
     }
 
-    /// Takes over announcements and departures of targets.
+    /// Applies announcements and departures of targets.
     pub fn apply_targets(&self, announcements: &[Announcement]) {
         let now = self.clock.now();
         let mut members = self.members.lock();
         let is_changed = !members.merge(now, announcements).is_empty();
         if is_changed {
-            self.place(&members);
+            self.update_dispatchers(&members);
         }
     }
 
-    /// Number of targets that take work.
+    /// Number of targets that accept requests.
     pub fn targets(&self) -> usize {
         self.members.lock().len()
     }
 
-    /// Takes over the other gateways.
+    /// Replaces the set of other gateways.
     pub fn set_gateways(&self, others: Vec<GatewayPlace>) {
-        let mut held = self.other_gateways.lock();
-        if *held == others {
+        let mut current = self.other_gateways.lock();
+        if *current == others {
             return;
         }
-        *held = others;
-        for gate in self.gates() {
-            gate.set_gateways(&held);
+        *current = others;
+        for dispatcher in self.dispatchers() {
+            dispatcher.set_gateways(&current);
         }
     }
 
-    /// Takes over what another gateway tells.
-    pub fn hear(&self, from: &VmId, findings: &[ReportedFinding], load: Option<&LoadReport>) {
-        for gate in self.gates() {
+    /// Applies the report of another gateway.
+    pub fn apply_report(
+        &self,
+        from: &VmId,
+        findings: &[ReportedFinding],
+        load: Option<&LoadReport>,
+    ) {
+        for dispatcher in self.dispatchers() {
             if !findings.is_empty() {
-                gate.hear_findings(findings);
+                dispatcher.apply_findings(findings);
             }
             if let Some(load) = load {
-                gate.hear_load(from, load.clone());
+                dispatcher.apply_load_report(from, load.clone());
             }
         }
     }
 
-    /// Gives each gate its targets.
-    fn place(&self, members: &Members) {
-        let newest = newest_by_address(members);
-        for gate in self.gates() {
+    /// Passes each dispatcher the targets of its service.
+    fn update_dispatchers(&self, members: &Members) {
+        let newest_incarnations = newest_incarnations_by_address(members);
+        for dispatcher in self.dispatchers() {
             let now = self.clock.now();
             let targets: Vec<BalancedMember> = members
-                .view(gate.name(), now)
-                .filter(|(target, _)| newest.get(&target.address) == Some(&target.incarnation))
+                .view(dispatcher.name(), now)
+                .filter(|(target, _)| {
+                    newest_incarnations.get(&target.address) == Some(&target.incarnation)
+                })
                 .map(|(target, _)| BalancedMember {
                     id: target.target.clone(),
                     address: target.address,
@@ -122,18 +130,20 @@
                     slots: target.slots,
                 })
                 .collect();
-            gate.set_members(&targets);
+            dispatcher.set_members(&targets);
         }
     }
 }
 
-/// The latest life that was announced at each address; an earlier one has ended, whether it said so
-/// or not.
-fn newest_by_address(members: &Members) -> HashMap<SocketAddr, Incarnation> {
-    let mut newest: HashMap<SocketAddr, Incarnation> = HashMap::new();
+/// The newest incarnation announced at each address. Older ones have ended, whether or not they
+/// announced their departure.
+fn newest_incarnations_by_address(members: &Members) -> HashMap<SocketAddr, Incarnation> {
+    let mut newest_incarnations: HashMap<SocketAddr, Incarnation> = HashMap::new();
     for target in members.iter().filter(|target| target.state == State::Ready) {
-        let incarnation = newest.entry(target.address).or_insert(target.incarnation);
+        let incarnation = newest_incarnations
+            .entry(target.address)
+            .or_insert(target.incarnation);
         *incarnation = (*incarnation).max(target.incarnation);
     }
-    newest
+    newest_incarnations
 }
--- a/crates/auburnbridge_gateway/tests/forwarding/main.rs
+++ b/crates/auburnbridge_gateway/tests/forwarding/main.rs
@@ -1,5 +1,5 @@
-//! Guards what a caller hears for each way in which a target can treat its request, and how often
-//! targets get it.
+//! Tests the response that a caller gets for each behaviour of a target, and how often targets receive
+//! the request.
 
 mod neighbours;
 mod targets;
@@ -10,14 +10,16 @@
 use async_std::net::TcpStream;
 use async_std::task::{self, block_on};
 use auburnbridge_policy::balance::Finding;
-use targets::{Act, OK, OTHER_TARGET, OWN_ERROR, SHED, listen, send, start_gateway, start_target};
+use targets::{
+    Behaviour, MISDIRECTED, OK, SERVER_ERROR, SHED, listen, send, start_gateway, start_target,
+};
 
-/// The status that the caller hears, and the number of requests that the targets got, when every
-/// target does `act`.
-fn outcome(path: &str, act: Act) -> (u16, usize) {
+/// The status that the caller gets, and the number of requests that the targets receive, if both
+/// targets show `behaviour`.
+fn status_and_sends(path: &str, behaviour: Behaviour) -> (u16, usize) {
     block_on(async {
-        let first = start_target("t-1", act).await;
-        let second = start_target("t-2", act).await;
+        let first = start_target("t-1", behaviour).await;
+        let second = start_target("t-2", behaviour).await;
         let address = listen(&start_gateway(&[&first, &second])).await;
         let response = send(address, path, 1_000).await;
         let count = first.requests.lock().len() + second.requests.lock().len();
@@ -25,77 +27,86 @@
     })
 }
 
-/// Guards against at-most-once requests that are sent again after they may have run, against "not
-/// run" where they may have, and against answers that no target sealed.
+/// Guards against at-most-once requests that are resent after they may have run, against a "not run"
+/// status for requests that may have run, and against accepting responses that no target sealed.
 #[test]
-fn every_treatment_of_an_order() {
-    const BARE: &str = "HTTP/1.1 200 OK\r\nAttempt: {id}\r\nContent-Length: 2\r\n\r\nok";
-    const CODED: &str = "HTTP/1.1 200 OK\r\nAttempt: {id}\r\nSeal: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok";
-    const CUT: &str = "HTTP/1.1 200 OK\r\nAttempt: {id}\r\nSeal: s\r\nContent-Length: 9\r\n\r\nok";
-    const BUSY_WHILE_RUNNING: &str =
+fn order_result_by_target_behaviour() {
+    const UNSEALED: &str = "HTTP/1.1 200 OK\r\nAttempt: {id}\r\nContent-Length: 2\r\n\r\nok";
+    const ENCODED: &str = "HTTP/1.1 200 OK\r\nAttempt: {id}\r\nSeal: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok";
+    const TRUNCATED: &str =
+        "HTTP/1.1 200 OK\r\nAttempt: {id}\r\nSeal: s\r\nContent-Length: 9\r\n\r\nok";
+    const UNMARKED_503: &str =
         "HTTP/1.1 503 Service Unavailable\r\nAttempt: {id}\r\nSeal: s\r\nContent-Length: 0\r\n\r\n";
-    const OPEN_END: &str = "HTTP/1.1 200 OK\r\nAttempt: {id}\r\nSeal: s\r\n\r\nok";
-    for (act, status, sends) in [
-        (Act::Answer(OK), 200, 1),
-        (Act::AnswerAndClose(OPEN_END), 200, 1),
-        (Act::Answer(OWN_ERROR), 500, 1),
-        (Act::Answer(SHED), 503, 2),
-        (Act::Answer(OTHER_TARGET), 503, 2),
-        (Act::Break, 502, 1),
-        (Act::AnswerAndClose(CUT), 502, 1),
-        (Act::Answer(BARE), 502, 1),
-        (Act::Answer(CODED), 502, 1),
-        (Act::Answer(BUSY_WHILE_RUNNING), 502, 1),
-        (Act::Hang, 504, 1),
+    const CLOSE_DELIMITED: &str = "HTTP/1.1 200 OK\r\nAttempt: {id}\r\nSeal: s\r\n\r\nok";
+    for (behaviour, status, sends) in [
+        (Behaviour::Respond(OK), 200, 1),
+        (Behaviour::RespondAndClose(CLOSE_DELIMITED), 200, 1),
+        (Behaviour::Respond(SERVER_ERROR), 500, 1),
+        (Behaviour::Respond(SHED), 503, 2),
+        (Behaviour::Respond(MISDIRECTED), 503, 2),
+        (Behaviour::Disconnect, 502, 1),
+        (Behaviour::RespondAndClose(TRUNCATED), 502, 1),
+        (Behaviour::Respond(UNSEALED), 502, 1),
+        (Behaviour::Respond(ENCODED), 502, 1),
+        (Behaviour::Respond(UNMARKED_503), 502, 1),
+        (Behaviour::Hang, 504, 1),
     ] {
-        assert_eq!(outcome("/order/1", act), (status, sends), "{act:?}");
+        assert_eq!(
+            status_and_sends("/order/1", behaviour),
+            (status, sends),
+            "{behaviour:?}"
+        );
     }
 }
 
-/// Guards against idempotent requests that are given up after one failure, and against more sends
-/// than the route allows.
+/// Guards against idempotent requests that fail without a retry, and against more sends than the route
+/// allows.
 #[test]
-fn every_treatment_of_a_lookup() {
-    for (act, status, sends) in [
-        (Act::Answer(OK), 200, 1),
-        (Act::Answer(SHED), 503, 2),
-        (Act::Answer(OWN_ERROR), 500, 2),
-        (Act::Break, 502, 2),
+fn lookup_result_by_target_behaviour() {
+    for (behaviour, status, sends) in [
+        (Behaviour::Respond(OK), 200, 1),
+        (Behaviour::Respond(SHED), 503, 2),
+        (Behaviour::Respond(SERVER_ERROR), 500, 2),
+        (Behaviour::Disconnect, 502, 2),
     ] {
-        assert_eq!(outcome("/lookup/1", act), (status, sends), "{act:?}");
+        assert_eq!(
+            status_and_sends("/lookup/1", behaviour),
+            (status, sends),
+            "{behaviour:?}"
+        );
     }
 }
 
-/// Guards against a request that stays with a bad target while a good one is there.
+/// Guards against a request that fails with its first target while a working target is available.
 #[test]
-fn other_target_serves_what_the_first_did_not_run() {
-    for (path, act) in [
-        ("/order/1", Act::Answer(SHED)),
-        ("/order/1", Act::Answer(OTHER_TARGET)),
-        ("/lookup/1", Act::Break),
-        ("/lookup/1", Act::Answer(OWN_ERROR)),
+fn failed_request_is_retried_on_another_target() {
+    for (path, behaviour) in [
+        ("/order/1", Behaviour::Respond(SHED)),
+        ("/order/1", Behaviour::Respond(MISDIRECTED)),
+        ("/lookup/1", Behaviour::Disconnect),
+        ("/lookup/1", Behaviour::Respond(SERVER_ERROR)),
     ] {
         block_on(async {
-            let bad = start_target("t-bad", act).await;
-            let good = start_target("t-good", Act::Answer(OK)).await;
+            let bad = start_target("t-bad", behaviour).await;
+            let good = start_target("t-good", Behaviour::Respond(OK)).await;
             let address = listen(&start_gateway(&[&bad, &good])).await;
             for _ in 0..6 {
                 assert_eq!(
                     send(address, path, 1_000).await.status,
                     200,
-                    "{path} {act:?}"
+                    "{path} {behaviour:?}"
                 );
             }
         });
     }
 }
 
-/// Guards against a lookup that waits for a silent target up to its deadline.
+/// Guards against a lookup that waits for a silent target until its deadline.
 #[test]
-fn lookup_leaves_a_silent_target() {
+fn lookup_to_a_silent_target_is_hedged() {
     block_on(async {
-        let silent = start_target("t-silent", Act::Hang).await;
-        let good = start_target("t-good", Act::Answer(OK)).await;
+        let silent = start_target("t-silent", Behaviour::Hang).await;
+        let good = start_target("t-good", Behaviour::Respond(OK)).await;
         let address = listen(&start_gateway(&[&silent, &good])).await;
         for _ in 0..4 {
             assert_eq!(send(address, "/lookup/1", 1_200).await.status, 200);
@@ -103,61 +114,62 @@
     });
 }
 
-/// Guards against a target that goes on getting orders while it answers none, since the first of them
-/// waits for it up to its deadline.
+/// Guards against a target that keeps receiving orders without responding to any, because the first
+/// order yields no finding until its deadline.
 #[test]
-fn silence_towards_an_order_is_found_before_its_deadline() {
+fn silent_target_is_reported_before_the_order_times_out() {
     block_on(async {
-        let silent = start_target("t-silent", Act::Hang).await;
+        let silent = start_target("t-silent", Behaviour::Hang).await;
         let gateway = start_gateway(&[&silent]);
         let address = listen(&gateway).await;
         let order = task::spawn(async move { send(address, "/order/1", 1_200).await });
-        let gate = gateway.services().get(&"stock".parse().unwrap()).unwrap();
-        // Three times the answer time that is assumed at first.
+        let dispatcher = gateway.services().get(&"stock".parse().unwrap()).unwrap();
+        // Longer than three times the response time that is assumed initially.
         task::sleep(Duration::from_secs(1)).await;
-        let findings = gate.take_unreported();
+        let findings = dispatcher.take_unreported();
         assert_eq!(findings.len(), 1);
         assert_eq!(findings[0].finding, Finding::Silent);
         assert_eq!(order.await.status, 504);
     });
 }
 
-/// Guards against a target that is left for seconds because one request took long: its silence has
-/// counted against it already when the answer comes.
+/// Guards against a target that is avoided for seconds because one request took long: its silence has
+/// already counted against it when the response arrives.
 #[test]
-fn late_answer_to_an_order_clears_its_silence() {
+fn late_response_to_an_order_clears_the_silent_finding() {
     block_on(async {
-        let late = start_target("t-late", Act::AnswerLate(OK)).await;
+        let late = start_target("t-late", Behaviour::RespondLate(OK)).await;
         let gateway = start_gateway(&[&late]);
         let address = listen(&gateway).await;
         assert_eq!(send(address, "/order/1", 1_200).await.status, 200);
-        let gate = gateway.services().get(&"stock".parse().unwrap()).unwrap();
-        let findings: Vec<Finding> = gate
+        let dispatcher = gateway.services().get(&"stock".parse().unwrap()).unwrap();
+        let findings: Vec<Finding> = dispatcher
             .take_unreported()
             .iter()
-            .map(|told| told.finding)
+            .map(|report| report.finding)
             .collect();
         assert_eq!(findings, [Finding::Silent, Finding::Answered]);
     });
 }
 
-/// Guards against a lookup that is cut off for its target's silence while no other target can take it.
+/// Guards against a lookup that is cancelled because its target is silent while no other target can
+/// take it.
 #[test]
-fn lookup_without_another_target_waits_for_its_answer() {
+fn lookup_without_a_second_target_waits_for_its_response() {
     block_on(async {
-        let late = start_target("t-late", Act::AnswerLate(OK)).await;
+        let late = start_target("t-late", Behaviour::RespondLate(OK)).await;
         let address = listen(&start_gateway(&[&late])).await;
         assert_eq!(send(address, "/lookup/1", 1_200).await.status, 200);
         assert_eq!(late.requests.lock().len(), 1);
     });
 }
 
-/// Guards against a target that is not named, and against a deadline that is longer than what is
-/// left.
+/// Guards against a request that doesn't name its expected target, and against a forwarded deadline
+/// longer than the remaining time.
 #[test]
-fn target_gets_its_name_and_the_time_left() {
+fn target_receives_its_id_and_the_remaining_time() {
     block_on(async {
-        let target = start_target("t-1", Act::Answer(OK)).await;
+        let target = start_target("t-1", Behaviour::Respond(OK)).await;
         let address = listen(&start_gateway(&[&target])).await;
         send(address, "/order/1?q=%20x", 700).await;
         send(address, "/order/1", 60_000).await;
@@ -182,31 +194,31 @@
     });
 }
 
-/// Guards against a caller that waits where nothing can serve it, and against a refusal without
-/// advice.
+/// Guards against a caller that waits although no target exists, and against a refusal without
+/// `Retry-After`.
 #[test]
 fn request_without_a_target_is_refused_at_once() {
     block_on(async {
         let address = listen(&start_gateway(&[])).await;
-        let begun = Instant::now();
+        let start = Instant::now();
         let response = send(address, "/order/1", 1_000).await;
         assert_eq!(response.status, 503);
         assert!(response.headers.text("Retry-After").is_some());
-        assert!(begun.elapsed() < Duration::from_millis(500));
+        assert!(start.elapsed() < Duration::from_millis(500));
         assert_eq!(send(address, "/elsewhere/", 1_000).await.status, 404);
     });
 }
 
-/// Guards against a request that crashes one target after the other.
+/// Guards against a request that crashes one target after another.
 #[test]
 fn request_that_crashed_two_targets_is_refused() {
     block_on(async {
-        let target = start_target("t-1", Act::Answer(OK)).await;
+        let target = start_target("t-1", Behaviour::Respond(OK)).await;
         let gateway = start_gateway(&[&target]);
         let address = listen(&gateway).await;
         let mut probe = auburnbridge_http::Request::new("POST", "/order/9");
         probe.headers.append("Host", "h");
-        let request = auburnbridge_gateway::digest_of(&probe);
+        let request = auburnbridge_gateway::request_digest(&probe);
         for name in ["t-8", "t-9"] {
             gateway.record_crash(auburnbridge_policy::CrashReport {
                 request,
@@ -220,31 +232,34 @@
     });
 }
 
-/// Guards against a request that a target goes on with for a caller that has gone.
+/// Guards against a request that stays in flight at a target after its caller has disconnected.
 #[test]
-fn disconnect_ends_the_request_at_its_target() {
+fn caller_disconnect_cancels_the_request_at_the_target() {
     block_on(async {
-        let target = start_target("t-1", Act::Hang).await;
+        let target = start_target("t-1", Behaviour::Hang).await;
         let gateway = start_gateway(&[&target]);
         let address = listen(&gateway).await;
         let mut caller = TcpStream::connect(address).await.unwrap();
         let text = "GET /lookup/1 HTTP/1.1\r\nHost: h\r\nAttempt: a-1\r\n\r\n";
         caller.write_all(text.as_bytes()).await.unwrap();
-        let gate = gateway.services().get(&"stock".parse().unwrap()).unwrap();
+        let dispatcher = gateway.services().get(&"stock".parse().unwrap()).unwrap();
         for _ in 0..100 {
-            if !gate.load_report().in_flight.is_empty() {
+            if !dispatcher.load_report().in_flight.is_empty() {
                 break;
             }
             task::sleep(Duration::from_millis(5)).await;
         }
-        assert!(!gate.load_report().in_flight.is_empty(), "nothing was sent");
+        assert!(
+            !dispatcher.load_report().in_flight.is_empty(),
+            "no request was sent to the target"
+        );
         drop(caller);
         for _ in 0..100 {
-            if gate.load_report().in_flight.is_empty() {
+            if dispatcher.load_report().in_flight.is_empty() {
                 return;
             }
             task::sleep(Duration::from_millis(5)).await;
         }
-        panic!("the request is still in flight");
+        panic!("the request is still in flight after the disconnect");
     });
 }
--- a/crates/auburnbridge_gateway/tests/forwarding/neighbours.rs
+++ b/crates/auburnbridge_gateway/tests/forwarding/neighbours.rs
@@ -1,4 +1,4 @@
-//! Guards what gateways tell each other, by sockets that stand in for two others.
+//! Tests the reports between gateways, with sockets in place of two other gateways.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,9 +12,9 @@
 use auburnbridge_policy::balance::Finding;
 use auburnbridge_types::ByteSize;
 
-use crate::targets::{Act, listen, send, start_gateway, start_target};
+use crate::targets::{Behaviour, listen, send, start_gateway, start_target};
 
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+const MAX_WAIT: Duration = Duration::from_secs(5);
 
 fn location(vm: &str, data_centre: &str, socket: &UdpSocket) -> GatewayLocation {
     GatewayLocation {
@@ -24,12 +24,12 @@
     }
 }
 
-/// The reports up to the one with a finding.
+/// Receives reports up to and including the first one with a finding.
 async fn reports_to_first_finding(socket: UdpSocket) -> Vec<GatewayReport> {
     let mut reports: Vec<GatewayReport> = Vec::new();
     let mut buf = [0; 1_400];
     while reports.last().is_none_or(|last| last.findings.is_empty()) {
-        let (length, _) = timeout(LONGEST_WAIT, socket.recv_from(&mut buf))
+        let (length, _) = timeout(MAX_WAIT, socket.recv_from(&mut buf))
             .await
             .unwrap()
             .unwrap();
@@ -38,33 +38,33 @@
     reports
 }
 
-/// Guards against gateways that don't hear of a failing target or of the slots that are taken, and
-/// against reports of requests in flight that cross data centres each time.
+/// Guards against gateways that receive no findings about a failing target or no load reports, and
+/// against load reports that are all sent to other data centres as well.
 #[test]
-fn findings_go_to_all_and_loads_mostly_within_the_data_centre() {
+fn findings_reach_all_gateways_and_load_reports_mostly_local_ones() {
     block_on(async {
-        let silent = start_target("t-silent", Act::Hang).await;
+        let silent = start_target("t-silent", Behaviour::Hang).await;
         let gateway = start_gateway(&[&silent]);
         let address = listen(&gateway).await;
-        let near = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-        let far = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-        let own = Neighbours::bind(
+        let local = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+        let remote = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+        let neighbours = Neighbours::bind(
             "gateway-1".parse().unwrap(),
             "north".parse().unwrap(),
             "127.0.0.1:0".parse().unwrap(),
         );
-        let own = Arc::new(own.await.unwrap());
+        let neighbours = Arc::new(neighbours.await.unwrap());
         let others = vec![
-            location("gateway-2", "north", &near),
-            location("gateway-3", "south", &far),
+            location("gateway-2", "north", &local),
+            location("gateway-3", "south", &remote),
         ];
-        assert_eq!(own.set_gateways(others).len(), 2);
+        assert_eq!(neighbours.set_gateways(others).len(), 2);
         let request = task::spawn(async move { send(address, "/order/1", 1_000).await });
-        let telling = task::spawn(own.tell(gateway));
-        let near = reports_to_first_finding(near).await;
-        let far = reports_to_first_finding(far).await;
+        let broadcasting = task::spawn(neighbours.broadcast(gateway));
+        let local = reports_to_first_finding(local).await;
+        let remote = reports_to_first_finding(remote).await;
         assert_eq!(request.await.status, 504);
-        for reports in [&near, &far] {
+        for reports in [&local, &remote] {
             let findings = &reports.last().unwrap().findings;
             assert_eq!(findings[0].finding, Finding::Silent);
         }
@@ -74,8 +74,8 @@
                 .flat_map(|load| load.in_flight.iter().map(|load| load.in_flight))
                 .collect()
         };
-        assert!(loads(&near).iter().all(|in_flight| *in_flight == 1));
-        assert!(loads(&near).len() > loads(&far).len());
-        telling.cancel().await;
+        assert!(loads(&local).iter().all(|in_flight| *in_flight == 1));
+        assert!(loads(&local).len() > loads(&remote).len());
+        broadcasting.cancel().await;
     });
 }
--- a/crates/auburnbridge_gateway/tests/forwarding/targets.rs
+++ b/crates/auburnbridge_gateway/tests/forwarding/targets.rs
@@ -1,4 +1,4 @@
-//! Raw targets on loopback that answer by a script, and a gateway in front of them.
+//! Scripted targets on loopback, and a gateway in front of them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
 use auburnbridge_caller::{Lifecycle, LimitSource, Listener, ListenerOptions};
-use auburnbridge_gateway::{CallerService, Gateway, GatewayPorts, ServiceTable};
+use auburnbridge_gateway::{CallerService, Gateway, GatewayDependencies, ServiceTable};
 use auburnbridge_http::{Connection, Limits, MemoryBudget, Request, RequestInfo, Response};
 use auburnbridge_membership::{Announcement, State};
 use auburnbridge_policy::RequestClass;
@@ -26,45 +26,45 @@
 };
 use parking_lot::Mutex;
 
-/// What a target does with a request.
+/// How a target handles a request.
 #[derive(Clone, Copy, Debug)]
-pub enum Act {
-    /// Answers with these bytes, in which `{id}` stands for the id of the attempt.
-    Answer(&'static str),
-    /// Answers in the same way and closes the connection.
-    AnswerAndClose(&'static str),
-    /// Closes the connection.
-    Break,
-    /// Answers in the same way after a second.
-    AnswerLate(&'static str),
-    /// Gives no answer.
+pub enum Behaviour {
+    /// Responds with these bytes, in which `{id}` stands for the attempt id.
+    Respond(&'static str),
+    /// Responds like `Respond`, then closes the connection.
+    RespondAndClose(&'static str),
+    /// Closes the connection without a response.
+    Disconnect,
+    /// Responds like `Respond` after a second.
+    RespondLate(&'static str),
+    /// Sends no response and keeps the connection open.
     Hang,
 }
 
 pub const OK: &str = "HTTP/1.1 200 OK\r\nAttempt: {id}\r\nSeal: s\r\nContent-Length: 2\r\n\r\nok";
 pub const SHED: &str =
     "HTTP/1.1 503 Service Unavailable\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n";
-pub const OTHER_TARGET: &str =
+pub const MISDIRECTED: &str =
     "HTTP/1.1 421 Misdirected Request\r\nInstance: x\r\nContent-Length: 0\r\n\r\n";
-pub const OWN_ERROR: &str =
+pub const SERVER_ERROR: &str =
     "HTTP/1.1 500 Internal Server Error\r\nAttempt: {id}\r\nSeal: e\r\nContent-Length: 1\r\n\r\ne";
 
-/// A target and the requests that it got.
+/// A target and the requests that it received.
 pub struct Target {
     pub name: &'static str,
     pub address: SocketAddr,
     pub requests: Arc<Mutex<Vec<Request>>>,
 }
 
-/// Starts a target that does `act` with each request.
-pub async fn start_target(name: &'static str, act: Act) -> Target {
+/// Starts a target that handles each request according to `behaviour`.
+pub async fn start_target(name: &'static str, behaviour: Behaviour) -> Target {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let requests: Arc<Mutex<Vec<Request>>> = Arc::default();
-    let seen = Arc::clone(&requests);
+    let received = Arc::clone(&requests);
     task::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            task::spawn(serve(stream, act, Arc::clone(&seen)));
+            task::spawn(serve(stream, behaviour, Arc::clone(&received)));
         }
     });
     Target {
@@ -74,42 +74,42 @@
     }
 }
 
-async fn serve(stream: TcpStream, act: Act, seen: Arc<Mutex<Vec<Request>>>) {
+async fn serve(stream: TcpStream, behaviour: Behaviour, received: Arc<Mutex<Vec<Request>>>) {
     let mut connection = Connection::new(stream);
     while let Ok(req) = connection.read_request(&Limits::default()).await {
         let id = req.headers.text("Attempt").unwrap_or("-").to_owned();
-        seen.lock().push(req);
-        let text = match act {
-            Act::Answer(text) | Act::AnswerAndClose(text) => text,
-            Act::AnswerLate(text) => {
+        received.lock().push(req);
+        let text = match behaviour {
+            Behaviour::Respond(text) | Behaviour::RespondAndClose(text) => text,
+            Behaviour::RespondLate(text) => {
                 task::sleep(Duration::from_secs(1)).await;
                 text
             }
-            Act::Break => return,
-            Act::Hang => {
+            Behaviour::Disconnect => return,
+            Behaviour::Hang => {
                 task::sleep(Duration::from_secs(30)).await;
                 return;
             }
         };
-        let answer = text.replace("{id}", &id);
+        let response = text.replace("{id}", &id);
         if connection
             .get_mut()
-            .write_all(answer.as_bytes())
+            .write_all(response.as_bytes())
             .await
             .is_err()
         {
             return;
         }
-        if matches!(act, Act::AnswerAndClose(_)) {
+        if matches!(behaviour, Behaviour::RespondAndClose(_)) {
             return;
         }
     }
 }
 
-/// Names of this test's own headers.
-struct Names;
+/// Dialect with header names of its own.
+struct TestDialect;
 
-impl Dialect for Names {
+impl Dialect for TestDialect {
     fn headers(&self) -> HeaderNames {
         HeaderNames {
             attempt: "Attempt",
@@ -183,7 +183,7 @@
     routes.build()
 }
 
-/// A gateway in front of `targets`.
+/// Creates a gateway in front of `targets`.
 pub fn start_gateway(targets: &[&Target]) -> Arc<Gateway> {
     let clock: Arc<dyn Clock> = Arc::new(RuntimeClock);
     let options = DispatcherOptions {
@@ -206,23 +206,26 @@
         .connect_timeout(Millis(200))
         .echo_header("Attempt")
         .build();
-    let ports = GatewayPorts {
+    let dependencies = GatewayDependencies {
         clock: Arc::clone(&clock),
-        dialect: Arc::new(Names),
+        dialect: Arc::new(TestDialect),
         pool,
         budget: MemoryBudget::new(ByteSize(1 << 20)),
         metrics: Arc::default(),
         seed: 1,
     };
-    let gateway = Arc::new(Gateway::new(ServiceTable::new(clock, options), ports));
-    assert!(gateway.put_in_force(routes()));
+    let gateway = Arc::new(Gateway::new(
+        ServiceTable::new(clock, options),
+        dependencies,
+    ));
+    assert!(gateway.install_routes(routes()));
     let announcements: Vec<Announcement> =
         targets.iter().map(|target| announcement(target)).collect();
     gateway.services().apply_targets(&announcements);
     gateway
 }
 
-/// Serves callers of the gateway; gives its address.
+/// Starts to serve callers of the gateway, and returns its address.
 pub async fn listen(gateway: &Arc<Gateway>) -> SocketAddr {
     let limits = Arc::clone(gateway) as Arc<dyn LimitSource>;
     let options = ListenerOptions::builder().pipelined(4, limits).build();
@@ -239,7 +242,7 @@
     address
 }
 
-/// Sends a request to `path` that waits for `wait_ms`, and gives the answer.
+/// Sends a request for `path` with a deadline of `wait_ms`, and returns the response.
 pub async fn send(address: SocketAddr, path: &str, wait_ms: u64) -> Response {
     let mut connection = Connection::new(TcpStream::connect(address).await.unwrap());
     let method = if path.starts_with("/order/") {
