--- a/crates/auburnbridge_gateway/src/gateway.rs
+++ b/crates/auburnbridge_gateway/src/gateway.rs
@@ -7,7 +7,9 @@
 use auburnbridge_caller::{Disconnect, LimitSource, Service};
 use auburnbridge_http::{Limits, MemoryBudget, Request, Response};
 use auburnbridge_policy::{CrashReport, PoisonTable};
-use auburnbridge_routing::{CallerLimits, Dialect, HeaderNames, PublishedRoute, RouteSet, Splits};
+use auburnbridge_routing::{
+    CallerLimits, Dialect, HeaderNames, PublishedRoute, RouteSet, TrafficSplits,
+};
 use auburnbridge_target::Pool;
 use auburnbridge_telemetry::ProcessMetrics;
 use auburnbridge_types::{
@@ -66,7 +68,7 @@
     pub(crate) metrics: Arc<ProcessMetrics>,
     budget: MemoryBudget,
     routes: ArcSwapOption<RouteSet>,
-    splits: Mutex<(Splits, StdRng)>,
+    splits: Mutex<(TrafficSplits, StdRng)>,
     poison: Mutex<PoisonTable>,
     unreported_crashes: Mutex<Vec<CrashReport>>,
     /// Notified when a finding or crash is to be reported to the other gateways immediately.
@@ -98,7 +100,10 @@
             metrics: dependencies.metrics,
             budget: dependencies.budget,
             routes: ArcSwapOption::empty(),
-            splits: Mutex::new((Splits::default(), StdRng::seed_from_u64(dependencies.seed))),
+            splits: Mutex::new((
+                TrafficSplits::default(),
+                StdRng::seed_from_u64(dependencies.seed),
+            )),
             poison: Mutex::default(),
             unreported_crashes: Mutex::default(),
             urgent_report: Event::new(),
--- a/crates/auburnbridge_routing/src/dialect.rs
+++ b/crates/auburnbridge_routing/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The border towards a platform: its names and formats, and nothing that decides.
+//! Interface to a platform: its names and formats, without any decisions.
 
 use std::fmt;
 
@@ -11,24 +11,24 @@
 /// Names of the headers that a gateway reads and writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Id that the caller gives one send of a request; targets echo it.
+    /// Id that the caller gives one attempt of a request; targets echo it.
     pub attempt: &'static str,
-    /// Milliseconds that the sender will wait for the answer.
+    /// Time in milliseconds for which the sender waits for the response.
     pub deadline: &'static str,
-    /// Id of the only target that may run the request.
+    /// Id of the target that may run the request; any other refuses it.
     pub expected_target: &'static str,
-    /// Signature of a target over its answer.
+    /// Signature of the target over its response.
     pub seal: &'static str,
-    /// Marks an answer of a target that didn't run the request.
+    /// Marks the response of a target that did not run the request.
     pub not_run: &'static str,
 }
 
-/// A configuration document with its version.
+/// An unparsed configuration document with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PublishedDocument {
-    /// Version that the document states.
+    /// Version stated in the document.
     pub version: ConfigVersion,
-    /// The document as it was sent.
+    /// The document as received.
     pub bytes: Vec<u8>,
 }
 
@@ -37,35 +37,43 @@
 pub enum ControlCall {
     /// An operator publishes a configuration.
     Publish(Result<PublishedDocument, DocumentError>),
-    /// An operator reads the newest configuration.
+    /// An operator reads the latest published configuration.
     ReadPublished,
     /// A target announces itself.
     Announce(Result<Announcement, AnnouncementError>),
-    /// A target leaves; it may state which of its lives ends.
+    /// A target leaves; it may state which of its incarnations ends.
     Leave {
-        /// The target.
+        /// Id of the target.
         target: TargetId,
-        /// Its life, where the call states it.
+        /// Incarnation that ends, if the call states it.
         incarnation: Option<Incarnation>,
     },
 }
 
-/// Names and formats of a platform.
+/// Header names, paths and document formats of a platform.
 pub trait Dialect: Send + Sync {
-    /// Headers between callers, gateways and targets.
+    /// Names of the headers between callers, gateways and targets.
     fn headers(&self) -> HeaderNames;
 
     /// Path of the readiness check.
     fn readiness_path(&self) -> &'static str;
 
-    /// Reads a call of the control interface.
+    /// Parses a call of the control interface.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no call has the request's path or method. Errors in the body are part of the call.
     fn read_call(&self, req: &Request) -> Result<ControlCall, CallError>;
 
-    /// Reads a configuration document.
+    /// Parses a configuration document.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the document is malformed or inconsistent.
     fn read_document(&self, document: &[u8]) -> Result<RouteSet, DocumentError>;
 }
 
-/// The control interface has no such call.
+/// Error for a request that is no call of the control interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
     /// No call has this path.
@@ -85,12 +93,12 @@
 
 impl std::error::Error for CallError {}
 
-/// Reason why a configuration document is refused.
+/// Reason for refusing a configuration document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DocumentError {
-    /// It can't be read: cut short, or a field is missing or of another type.
+    /// The document is malformed: truncated, or a field is missing or has the wrong type.
     Unreadable(String),
-    /// It contradicts itself.
+    /// The document is inconsistent.
     Inconsistent(RouteSetError),
 }
 
@@ -111,7 +119,7 @@
     }
 }
 
-/// Reason why an announcement names no target to use.
+/// Reason for refusing an announcement of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnnouncementError(pub String);
 
--- a/crates/auburnbridge_routing/src/lib.rs
+++ b/crates/auburnbridge_routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! Published routes: host and path prefix to services, with the limits that hold for callers.
+//! Published routes from host and path prefix to services, and the limits on callers.
 //!
-//! A published configuration is one whole document with a version. The keepers replicate the
-//! document as it was sent; each process reads it through a [`Dialect`], which is the only place
-//! that knows the names and formats of a platform.
+//! A published configuration is a single versioned document. The keepers replicate the document as
+//! received; each process parses it through a [`Dialect`], the only place that knows the names and
+//! formats of a platform.
 
 mod dialect;
 mod route;
@@ -15,4 +15,4 @@
 };
 pub use route::{CallerLimits, Destination, PublishedRoute, PublishedService};
 pub use routes::{RouteSet, RouteSetBuilder, RouteSetError};
-pub use split::{SplitState, Splits};
+pub use split::{TrafficSplits, WeightedRoundRobin};
--- a/crates/auburnbridge_routing/src/route.rs
+++ b/crates/auburnbridge_routing/src/route.rs
@@ -3,56 +3,56 @@
 use auburnbridge_policy::RequestClass;
 use auburnbridge_types::{ByteSize, Millis, Priority, ServiceName, Weight};
 
-/// A service that a route sends requests to.
+/// A service that a route sends requests to, with its share of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Destination {
     /// The service.
     pub service: ServiceName,
-    /// Its share.
+    /// Share of the route's requests, relative to the weights of its other destinations.
     pub weight: Weight,
 }
 
 /// A route of a published configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PublishedRoute {
-    /// Name for logs.
+    /// Name of the route in logs.
     pub name: String,
-    /// Paths that begin with this belong to the route.
+    /// Prefix of the paths that belong to the route; begins and ends with a slash.
     pub prefix: String,
     /// Whether a request may run more than once.
     pub class: RequestClass,
-    /// Rank among requests that wait for the same service.
+    /// Priority among requests that wait for the same service.
     pub priority: Priority,
-    /// Time within which an answer is of full use to the caller.
+    /// Latency objective: the time within which a response is of full use to the caller.
     pub objective: Millis,
-    /// Longest time that a caller is kept waiting.
+    /// Longest time for which a caller is kept waiting.
     pub timeout: Millis,
-    /// Most targets that may get one request.
+    /// Maximum number of targets to which one request may be sent.
     pub attempts: u32,
-    /// Where the requests go; at least one weight is above zero.
+    /// Services that the requests are split among; at least one weight is above zero.
     pub destinations: Vec<Destination>,
 }
 
 /// A service of a published configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PublishedService {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Path of its targets' health check.
+    /// Health check path of the service's targets.
     pub health_path: String,
-    /// Connections that a target accepts from all callers together.
+    /// Maximum number of connections that a target accepts from all callers together.
     pub connection_limit: u32,
 }
 
-/// What a caller may send, and how slowly.
+/// Limits on the size and duration of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Longest request head.
+    /// Maximum size of a request head.
     pub head: ByteSize,
-    /// Longest request body.
+    /// Maximum size of a request body.
     pub body: ByteSize,
     /// Longest time between the first byte of a request and the end of its head.
     pub head_timeout: Millis,
-    /// Time after which a connection without a request is closed.
+    /// Idle time after which a connection without a request is closed.
     pub idle_timeout: Millis,
 }
--- a/crates/auburnbridge_routing/src/routes.rs
+++ b/crates/auburnbridge_routing/src/routes.rs
@@ -1,4 +1,4 @@
-//! The routes of one configuration, ready for lookups.
+//! Route lookup by host and path, and validation of a configuration.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -10,7 +10,7 @@
 use crate::{CallerLimits, PublishedRoute, PublishedService};
 
 /// Longest timeout that a route may have.
-const LONGEST_TIMEOUT: Millis = Millis(10 * 60 * 1000);
+const MAX_ROUTE_TIMEOUT: Millis = Millis(10 * 60 * 1000);
 
 /// The routes and services of one published configuration.
 #[derive(Clone, Debug)]
@@ -21,9 +21,9 @@
     services: IndexMap<ServiceName, PublishedService>,
 }
 
-/// Routes of one host by their prefix.
+/// Routes of one host, by prefix.
 ///
-/// Every prefix ends in a slash, so that a lookup probes one prefix for each slash of the path and
+/// Every prefix ends in a slash. A lookup probes one prefix for each slash of the path, so its cost
 /// doesn't depend on the number of routes.
 #[derive(Clone, Debug, Default)]
 struct HostRoutes(HashMap<String, Arc<PublishedRoute>>);
@@ -31,12 +31,12 @@
 impl HostRoutes {
     fn find(&self, path: &str) -> Option<&Arc<PublishedRoute>> {
         path.rmatch_indices('/')
-            .find_map(|(at, _)| self.0.get(&path[..=at]))
+            .find_map(|(index, _)| self.0.get(&path[..=index]))
     }
 }
 
 impl RouteSet {
-    /// Starts a configuration without routes.
+    /// Creates a builder without routes and services.
     pub fn builder(version: ConfigVersion, limits: CallerLimits) -> RouteSetBuilder {
         RouteSetBuilder {
             routes: Self {
@@ -53,14 +53,14 @@
         self.version
     }
 
-    /// Limits for callers.
+    /// Limits on callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// The route of a request: the one with the longest prefix of `path` among those of `host`.
+    /// Finds the route of a request: of the routes of `host`, the one with the longest prefix of `path`.
     ///
-    /// `host` is the value of the header, with or without a port; `path` may have a query.
+    /// `host` is the value of the `Host` header, with or without a port; `path` may contain a query.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<PublishedRoute>> {
         let name = host.rsplit_once(':').map_or(host, |(name, port)| {
             if port.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -73,18 +73,18 @@
         self.hosts.get(&name.to_ascii_lowercase())?.find(path)
     }
 
-    /// The service of this name.
+    /// The service with this name, if the configuration has one.
     pub fn service(&self, name: &ServiceName) -> Option<&PublishedService> {
         self.services.get(name)
     }
 
-    /// Every service, in the order of the configuration.
+    /// All services, in the order of the configuration.
     pub fn services(&self) -> impl ExactSizeIterator<Item = &PublishedService> {
         self.services.values()
     }
 
     /// Names of all routes.
-    pub fn names(&self) -> impl Iterator<Item = &str> {
+    pub fn route_names(&self) -> impl Iterator<Item = &str> {
         let routes = self.hosts.values().flat_map(|routes| routes.0.values());
         routes.map(|route| route.name.as_str())
     }
@@ -100,7 +100,7 @@
     }
 }
 
-/// Builds a [`RouteSet`] and checks it.
+/// Builds and validates a [`RouteSet`].
 #[derive(Clone, Debug)]
 pub struct RouteSetBuilder {
     routes: RouteSet,
@@ -108,23 +108,31 @@
 
 impl RouteSetBuilder {
     /// Adds a service.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a service with the same name has been added.
     pub fn service(&mut self, service: PublishedService) -> Result<(), RouteSetError> {
         let name = service.name.clone();
         match self.routes.services.insert(name.clone(), service) {
             None => Ok(()),
-            Some(_) => Err(RouteSetError::ServiceRepeated(name)),
+            Some(_) => Err(RouteSetError::DuplicateService(name)),
         }
     }
 
-    /// Adds a route of `host`; its services must have been added.
+    /// Adds a route of `host`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the prefix, timeout or weights are invalid, or if a service has not been added before.
     pub fn route(&mut self, host: &str, route: PublishedRoute) -> Result<(), RouteSetError> {
         let name = || route.name.clone();
         if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-            return Err(RouteSetError::Prefix(name()));
+            return Err(RouteSetError::InvalidPrefix(name()));
         }
-        // Without any time every request of the route would be refused.
-        if route.timeout == Millis(0) || route.timeout > LONGEST_TIMEOUT {
-            return Err(RouteSetError::Timeout(name()));
+        // With a timeout of zero, every request of the route would be refused.
+        if route.timeout == Millis(0) || route.timeout > MAX_ROUTE_TIMEOUT {
+            return Err(RouteSetError::InvalidTimeout(name()));
         }
         let unknown = route
             .destinations
@@ -136,16 +144,19 @@
                 service: unknown.service.clone(),
             });
         }
-        let weights = route.destinations.iter().map(|to| u64::from(to.weight.0));
+        let weights = route
+            .destinations
+            .iter()
+            .map(|destination| u64::from(destination.weight.0));
         if weights.sum::<u64>() == 0 {
-            return Err(RouteSetError::NoWeight(name()));
+            return Err(RouteSetError::ZeroWeight(name()));
         }
         let routes = self
             .routes
             .hosts
             .entry(host.to_ascii_lowercase())
             .or_default();
-        // A repeated prefix is no error: the first route of the configuration has it.
+        // A repeated prefix is not an error: the first route of the configuration takes precedence.
         routes
             .0
             .entry(route.prefix.clone())
@@ -153,50 +164,50 @@
         Ok(())
     }
 
-    /// The finished configuration.
+    /// Returns the finished route set.
     pub fn build(self) -> RouteSet {
         self.routes
     }
 }
 
-/// Reason why a configuration is refused.
+/// Reason for refusing a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouteSetError {
     /// Two services have the same name.
-    ServiceRepeated(ServiceName),
-    /// A prefix doesn't begin and end with a slash.
-    Prefix(String),
-    /// A route's timeout is zero or over ten minutes.
-    Timeout(String),
+    DuplicateService(ServiceName),
+    /// The prefix of the route doesn't begin and end with a slash.
+    InvalidPrefix(String),
+    /// The timeout of the route is zero or over ten minutes.
+    InvalidTimeout(String),
     /// A route names a service that is not in the configuration.
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service.
+        /// Name of the service.
         service: ServiceName,
     },
-    /// The weights of a route add up to zero.
-    NoWeight(String),
+    /// The weights of the route add up to zero.
+    ZeroWeight(String),
 }
 
 impl fmt::Display for RouteSetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::ServiceRepeated(service) => write!(f, "service `{service}` is listed twice"),
-            Self::Prefix(route) => write!(
+            Self::DuplicateService(service) => write!(f, "service `{service}` is listed twice"),
+            Self::InvalidPrefix(route) => write!(
                 f,
                 "route `{route}`: the prefix must begin and end with a slash"
             ),
-            Self::Timeout(route) => {
+            Self::InvalidTimeout(route) => {
                 write!(
                     f,
-                    "route `{route}`: the timeout is zero or over {LONGEST_TIMEOUT}"
+                    "route `{route}`: the timeout is zero or over {MAX_ROUTE_TIMEOUT}"
                 )
             }
             Self::UnknownService { route, service } => {
                 write!(f, "route `{route}`: service `{service}` is not listed")
             }
-            Self::NoWeight(route) => write!(f, "route `{route}`: its weights add up to zero"),
+            Self::ZeroWeight(route) => write!(f, "route `{route}`: its weights add up to zero"),
         }
     }
 }
--- a/crates/auburnbridge_routing/tests/routes.rs
+++ b/crates/auburnbridge_routing/tests/routes.rs
@@ -1,9 +1,9 @@
-//! Guards route lookup, the checks of a configuration and the division among destinations.
+//! Tests route lookup, the validation of configurations, and the traffic split among destinations.
 
 use auburnbridge_policy::RequestClass;
 use auburnbridge_routing::{
     CallerLimits, Destination, PublishedRoute, PublishedService, RouteSet, RouteSetBuilder,
-    RouteSetError, SplitState, Splits,
+    RouteSetError, TrafficSplits, WeightedRoundRobin,
 };
 use auburnbridge_types::{ByteSize, ConfigVersion, Millis, Priority, Weight};
 use proptest::prelude::*;
@@ -15,7 +15,7 @@
     idle_timeout: Millis(15_000),
 };
 
-fn to(service: &str, weight: u32) -> Destination {
+fn destination(service: &str, weight: u32) -> Destination {
     Destination {
         service: service.parse().unwrap(),
         weight: Weight(weight),
@@ -48,13 +48,13 @@
     builder
 }
 
-/// Guards against a shorter prefix that wins over a longer one, and against a prefix that matches in
-/// the middle of a segment.
+/// Guards against a shorter prefix that takes precedence over a longer one, and against a prefix that
+/// matches in the middle of a path segment.
 #[test]
 fn longest_prefix_of_the_host_wins() {
     let mut builder = builder();
     for (name, prefix) in [("short", "/a/"), ("long", "/a/b/"), ("other", "/c/")] {
-        let destinations = vec![to("stock", 1)];
+        let destinations = vec![destination("stock", 1)];
         builder
             .route("Shop.example", route(name, prefix, destinations))
             .unwrap();
@@ -75,66 +75,88 @@
     }
 }
 
-/// Guards against configurations that contradict themselves.
+/// Guards against accepting configurations with unknown services, unusable weights, timeouts or
+/// prefixes.
 #[test]
-fn contradictions_are_refused() {
-    let unknown = builder().route("h", route("r", "/a/", vec![to("stock", 1), to("none", 0)]));
+fn inconsistent_configurations_are_refused() {
+    let unknown = builder().route(
+        "h",
+        route(
+            "r",
+            "/a/",
+            vec![destination("stock", 1), destination("none", 0)],
+        ),
+    );
     assert!(matches!(unknown, Err(RouteSetError::UnknownService { .. })));
-    let weightless = builder().route("h", route("r", "/a/", vec![to("stock", 0)]));
-    assert_eq!(weightless, Err(RouteSetError::NoWeight("r".to_owned())));
-    let slow = PublishedRoute {
+    let zero_weight = builder().route("h", route("r", "/a/", vec![destination("stock", 0)]));
+    assert_eq!(zero_weight, Err(RouteSetError::ZeroWeight("r".to_owned())));
+    let long_timeout = PublishedRoute {
         timeout: Millis(600_001),
-        ..route("r", "/a/", vec![to("stock", 1)])
+        ..route("r", "/a/", vec![destination("stock", 1)])
     };
-    let slow = builder().route("h", slow);
-    assert_eq!(slow, Err(RouteSetError::Timeout("r".to_owned())));
-    let open = builder().route("h", route("r", "/a", vec![to("stock", 1)]));
-    assert_eq!(open, Err(RouteSetError::Prefix("r".to_owned())));
+    let long_timeout = builder().route("h", long_timeout);
+    assert_eq!(
+        long_timeout,
+        Err(RouteSetError::InvalidTimeout("r".to_owned()))
+    );
+    let unterminated = builder().route("h", route("r", "/a", vec![destination("stock", 1)]));
+    assert_eq!(
+        unterminated,
+        Err(RouteSetError::InvalidPrefix("r".to_owned()))
+    );
 }
 
-/// Guards against a removed part that still gets requests after the weights changed.
+/// Guards against a destination that still receives requests after its weight was set to zero.
 #[test]
 fn changed_weights_take_effect_at_once() {
-    let mut splits = Splits::default();
-    let before = route("r", "/a/", vec![to("stock", 9), to("dispatch", 1)]);
+    let mut splits = TrafficSplits::default();
+    let before = route(
+        "r",
+        "/a/",
+        vec![destination("stock", 9), destination("dispatch", 1)],
+    );
     for _ in 0..7 {
         splits.next(&before, || 3).unwrap();
     }
-    let after = route("r", "/a/", vec![to("stock", 0), to("dispatch", 1)]);
+    let after = route(
+        "r",
+        "/a/",
+        vec![destination("stock", 0), destination("dispatch", 1)],
+    );
     for _ in 0..20 {
         let next = splits.next(&after, || 3).unwrap();
         assert_eq!(next.service.as_str(), "dispatch");
     }
 }
 
-/// Guards against a start that takes one step for each unit of the weights, which may be large, and
-/// against a sum of weights that overflows.
+/// Guards against a start offset that takes one step per unit of weight, since weights may be large,
+/// and against an overflow of the sum of the weights.
 #[test]
-fn large_weights_start_soon() {
-    let most = u32::MAX;
+fn large_weights_start_quickly() {
+    let max = u32::MAX;
     for (weights, first) in [
-        ([most, most], 0),
-        ([most - 1, 1], 0),
-        ([most / 3, most / 3 * 2], 1),
+        ([max, max], 0),
+        ([max - 1, 1], 0),
+        ([max / 3, max / 3 * 2], 1),
     ] {
-        let destinations = weights.map(|weight| to("stock", weight));
-        let mut state = SplitState::starting_at(&destinations, most - 1);
+        let destinations = weights.map(|weight| destination("stock", weight));
+        let mut state = WeightedRoundRobin::with_offset(&destinations, max - 1);
         assert!(state.next(&destinations).is_some(), "{weights:?}");
-        let mut state = SplitState::starting_at(&destinations, 0);
+        let mut state = WeightedRoundRobin::with_offset(&destinations, 0);
         let next = state.next(&destinations).unwrap();
         assert_eq!(next.weight.0, weights[first], "{weights:?}");
     }
 }
 
-/// Guards against memory that grows with every route that was ever published.
+/// Guards against memory use that grows with every route that was ever published.
 #[test]
 fn removed_routes_are_forgotten() {
-    let parts = || vec![to("stock", 1), to("dispatch", 1)];
+    let destinations = || vec![destination("stock", 1), destination("dispatch", 1)];
     let (kept, removed) = (
-        route("kept", "/a/", parts()),
-        route("removed", "/b/", parts()),
+        route("kept", "/a/", destinations()),
+        route("removed", "/b/", destinations()),
     );
-    let mut splits = Splits::default();
+    let mut splits = TrafficSplits::default();
     splits.next(&kept, || 0).unwrap();
     splits.next(&removed, || 0).unwrap();
     let mut builder = builder();
@@ -154,7 +176,7 @@
 }
 
 proptest! {
-    /// Guards against shares that drift from the weights in any run of requests.
+    /// Guards against shares that deviate from the weights in any run of consecutive requests.
     #[test]
     fn each_destination_gets_its_share(
         weights in prop::collection::vec(0_u32..1_000, 1..6),
@@ -165,21 +187,22 @@
         let destinations: Vec<Destination> = weights
             .iter()
             .enumerate()
-            .map(|(number, weight)| to(&format!("s-{number}"), *weight))
+            .map(|(number, weight)| destination(&format!("s-{number}"), *weight))
             .collect();
-        let mut state = SplitState::starting_at(&destinations, offset);
+        let mut state = WeightedRoundRobin::with_offset(&destinations, offset);
         let mut counts = vec![0.0; weights.len()];
         for _ in 0..count {
             let next = state.next(&destinations).unwrap();
-            let at = destinations.iter().position(|to| to == next).unwrap();
-            counts[at] += 1.0;
+            let index = destinations.iter().position(|destination| destination == next).unwrap();
+            counts[index] += 1.0;
         }
         let total: u32 = weights.iter().sum();
-        for (weight, given) in weights.iter().zip(&counts) {
-            let share = f64::from(*weight) / f64::from(total) * f64::from(count);
-            // One request each at the begin and the end of the run, for each of the others.
-            let parts = f64::from(u32::try_from(weights.len()).unwrap());
-            prop_assert!((given - share).abs() <= parts, "{given} of {share}");
+        for (weight, actual) in weights.iter().zip(&counts) {
+            let expected = f64::from(*weight) / f64::from(total) * f64::from(count);
+            // A run may deviate by one request at its start and one at its end for each of the other
+            // destinations.
+            let tolerance = f64::from(u32::try_from(weights.len()).unwrap());
+            prop_assert!((actual - expected).abs() <= tolerance, "{actual} of {expected}");
         }
     }
 }
