--- a/crates/auburnbridge_entry/src/neighbours.rs
+++ b/crates/auburnbridge_entry/src/neighbours.rs
@@ -120,10 +120,10 @@
     }
 
     /// Notes that real work succeeded on a target.
-    pub fn note_work(&self, now: Timestamp, service: &ServiceName, member: &Member) {
+    pub fn record_success(&self, now: Timestamp, service: &ServiceName, member: &Member) {
         self.targets
             .lock()
-            .note_work(now, service, &member.id, member.incarnation);
+            .record_success(now, service, &member.id, member.incarnation);
     }
 
     /// Forgets what has been stale for long.
--- a/crates/auburnbridge_entry/src/run.rs
+++ b/crates/auburnbridge_entry/src/run.rs
@@ -312,7 +312,8 @@
                 if let (Presence::Stale(_), Some(worked)) =
                     (view.member.presence, view.last_success)
                 {
-                    self.neighbours.note_work(worked, &service, &view.member);
+                    self.neighbours
+                        .record_success(worked, &service, &view.member);
                 }
             }
         }
--- a/crates/auburnbridge_membership/examples/membership_cost.rs
+++ b/crates/auburnbridge_membership/examples/membership_cost.rs
@@ -1,8 +1,8 @@
-//! Prints the memory, message sizes and time per merge of the membership at several sizes.
+//! Prints memory use, message sizes and merge time of the membership for several target counts.
 //!
 //! Run it with `cargo run --release -p auburnbridge_membership --example membership_cost`. Memory
-//! is the growth of the resident set, over as many copies as make 54,000 targets; the copies stay
-//! until the end, since freed memory would hide the growth.
+//! is measured as growth of the resident set over enough copies to total 54,000 targets. All copies
+//! are kept until the end, since memory freed by one would hide the growth caused by the next.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -57,7 +57,7 @@
         .len()
 }
 
-/// Sizes of the messages of an exchange in which one target differs.
+/// Encoded sizes of the messages of an exchange in which one target differs, in bytes.
 fn exchange_bytes(count: usize) -> Vec<usize> {
     let mut opener = members(count, 100_000);
     let mut other = members(count, 100_000);
@@ -76,8 +76,8 @@
     sizes
 }
 
-/// Resident memory per target for each size.
-fn memory_per_target() -> Vec<usize> {
+/// Resident memory per target for each of [`SIZES`], in bytes.
+fn bytes_per_target() -> Vec<usize> {
     let mut kept: Vec<Members> = Vec::new();
     let mut per_target = Vec::new();
     for count in SIZES {
@@ -96,7 +96,7 @@
 
 fn main() {
     println!("targets  memory/target  rumour/target  merge  expire  exchange messages");
-    for (count, memory) in SIZES.into_iter().zip(memory_per_target()) {
+    for (count, memory) in SIZES.into_iter().zip(bytes_per_target()) {
         let mut table = members(count, 100_000);
         let renewals = announcements(count, 100_001);
         let rumour = postcard::to_stdvec(&renewals)
--- a/crates/auburnbridge_membership/src/announcement.rs
+++ b/crates/auburnbridge_membership/src/announcement.rs
@@ -1,4 +1,4 @@
-//! What targets and entries announce, and the order of announcements.
+//! Announcements of targets and entries, and the total order on them.
 
 use std::fmt::{Debug, Display};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use sha2::{Digest, Sha256};
 use strum::{Display, EnumString, IntoStaticStr};
 
-/// Whether the sender takes work.
+/// Whether the sender accepts new requests.
 #[derive(
     Clone,
     Copy,
@@ -29,74 +29,74 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum State {
-    /// It takes work.
+    /// The sender accepts requests.
     Ready,
-    /// It takes no new work, for the rest of its incarnation.
+    /// The sender accepts no new requests for the rest of its incarnation.
     Leaving,
 }
 
-/// A target's statement about itself.
+/// State that a target announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The service that the target provides.
+    /// Service that the target provides.
     pub service: ServiceName,
-    /// The target.
+    /// Id of the target.
     pub target: TargetId,
-    /// Where it accepts connections.
+    /// Address on which the target accepts connections.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Data centre in which the target runs.
     pub data_centre: DataCentre,
-    /// Number of its life.
+    /// Number of the target process; a restart increases it.
     pub incarnation: Incarnation,
-    /// Position of the announcement in that life.
+    /// Position of the announcement within the incarnation.
     pub sequence: Sequence,
-    /// Number of requests that it runs at the same time.
+    /// Number of requests that the target runs concurrently.
     pub slots: Slots,
-    /// Whether it takes work.
+    /// Whether the target accepts new requests.
     pub state: State,
 }
 
-/// An entry's statement about itself.
+/// State that an entry announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EntryAnnouncement {
-    /// The VM that the entry runs on.
+    /// VM on which the entry runs.
     pub vm: VmId,
-    /// Where it accepts connections of other entries.
+    /// Address on which the entry accepts connections from other entries.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Data centre in which the entry runs.
     pub data_centre: DataCentre,
-    /// Number of its life; see [`crate::Entries::incarnation_after_restart`].
+    /// Number of the entry process; see [`crate::Entries::incarnation_after_restart`].
     pub incarnation: Incarnation,
-    /// Random number of its process.
+    /// Random number that the process draws when it starts.
     pub boot: u64,
-    /// Number of its heartbeat.
+    /// Heartbeat number.
     pub sequence: Sequence,
-    /// The rules revision that it has in force.
+    /// Rules revision in force on the entry.
     pub revision: Revision,
-    /// Whether it takes work.
+    /// Whether the entry accepts new requests.
     pub state: State,
 }
 
-/// What [`crate::Membership`] needs to know of an announcement.
+/// Properties of an announcement that [`crate::Membership`] relies on.
 pub trait Announced: Clone + Debug + PartialEq {
-    /// The set that anti-entropy compares as one.
+    /// Key of the set of ids that anti-entropy compares by one hash.
     type Group: Clone + Ord + Debug + Display;
-    /// Name of the sender within its group.
+    /// Id of the sender, unique within its group.
     type Id: Clone + Ord + Debug + Display;
 
-    /// The group of the sender.
+    /// Group of the sender.
     fn group(&self) -> &Self::Group;
-    /// Name of the sender.
+    /// Id of the sender.
     fn id(&self) -> &Self::Id;
-    /// Number of the sender's life.
+    /// Incarnation of the sender.
     fn incarnation(&self) -> Incarnation;
-    /// Position of the announcement in that life.
+    /// Position of the announcement within the incarnation.
     fn sequence(&self) -> Sequence;
-    /// Whether the sender takes work.
+    /// Whether the sender accepts new requests.
     fn state(&self) -> State;
-    /// The process that claims the id; fixed within an incarnation.
+    /// Address and boot number of the process that claims the id; fixed within an incarnation.
     fn process(&self) -> (SocketAddr, u64);
-    /// Everything else, as a number and a text.
+    /// Remaining fields, as a number and a text.
     fn details(&self) -> (u64, &str);
 
     /// Whether this announcement replaces `other`, which has the same id.
@@ -121,17 +121,19 @@
         self.incarnation() == other.incarnation() && self.process() != other.process()
     }
 
-    /// Whether `other`, which has the same id, differs in its sequence at most.
-    fn has_content_of(&self, other: &Self) -> bool {
+    /// Whether this announcement and `other`, which has the same id, are equal apart from the
+    /// sequence.
+    fn has_same_content(&self, other: &Self) -> bool {
         self.incarnation() == other.incarnation()
             && self.state() == other.state()
             && self.process() == other.process()
             && self.details() == other.details()
     }
 
-    /// Digest of everything but the sequence, so that a renewal alone is no difference.
+    /// Digest of all fields except the sequence, so that a lease renewal does not change it.
     ///
-    /// SHA-256 keeps its value between builds, unlike the hasher of the standard library.
+    /// Uses SHA-256, whose value is the same in every build, unlike the hasher of the standard
+    /// library.
     fn content_hash(&self) -> u64 {
         let (address, boot) = self.process();
         let (number, name) = self.details();
--- a/crates/auburnbridge_membership/src/gossip.rs
+++ b/crates/auburnbridge_membership/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Rumours about new announcements and the choice of peers for them.
+//! Rumour gossip: pending announcements and the selection of the peers that receive them.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +8,15 @@
 
 use crate::Announced;
 
-/// Number of ids with a rumour that waits for the next round.
+/// Maximum number of ids with a rumour pending for the next round.
 ///
-/// A rumour beyond it is dropped, and anti-entropy brings its announcement later.
+/// Rumours above the limit are dropped; anti-entropy delivers their announcements later.
 pub const MAX_PENDING_RUMOURS: usize = 4_096;
 
-/// Spreads each new announcement once, to a few peers.
+/// Forwards each new announcement once to a few random peers.
 ///
-/// The peers that a rumour reaches spread it in turn; those that it misses get the announcement
-/// by anti-entropy. The choice of peers follows from the seed alone.
+/// Peers that receive a rumour forward it in turn; peers that miss it get the announcement by
+/// anti-entropy. The selection of peers depends only on the seed.
 #[derive(Clone, Debug)]
 pub struct Gossip<A: Announced> {
     fanout: usize,
@@ -25,7 +25,7 @@
 }
 
 impl<A: Announced> Gossip<A> {
-    /// Creates a spreader that sends each rumour to `fanout` peers.
+    /// Creates a gossip state that sends each rumour to `fanout` peers.
     pub fn new(fanout: usize, seed: u64) -> Self {
         Self {
             fanout,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Adds new announcements; of one id only the newest is kept.
+    /// Queues new announcements; only the newest one of each id is kept.
     pub fn push(&mut self, announcements: Vec<A>) {
         for announcement in announcements {
             let key = (announcement.group().clone(), announcement.id().clone());
@@ -42,25 +42,25 @@
                 .pending
                 .get(&key)
                 .is_none_or(|pending| announcement.supersedes(pending));
-            let has_room =
+            let has_capacity =
                 self.pending.len() < MAX_PENDING_RUMOURS || self.pending.contains_key(&key);
-            if is_newest && has_room {
+            if is_newest && has_capacity {
                 self.pending.insert(key, announcement);
             }
         }
     }
 
-    /// Takes the pending announcements of one round.
+    /// Removes and returns the announcements pending for this round.
     pub fn take_pending(&mut self) -> Vec<A> {
         std::mem::take(&mut self.pending).into_values().collect()
     }
 
-    /// Picks distinct peers for one round.
+    /// Picks up to `fanout` distinct peers for one round.
     pub fn pick_peers<'a, P>(&mut self, peers: &'a [P]) -> Vec<&'a P> {
-        let amount = self.fanout.min(peers.len());
-        index::sample(&mut self.rng, peers.len(), amount)
+        let count = self.fanout.min(peers.len());
+        index::sample(&mut self.rng, peers.len(), count)
             .into_iter()
-            .map(|at| &peers[at])
+            .map(|i| &peers[i])
             .collect()
     }
 }
--- a/crates/auburnbridge_membership/src/lib.rs
+++ b/crates/auburnbridge_membership/src/lib.rs
@@ -1,22 +1,23 @@
-//! Target announcements, leases, departures and their gossip between entries.
+//! Membership of targets and entries: announcements, leases, departures and gossip.
 //!
-//! A [`Membership`] is the pure state of one entry: it performs no I/O and is given the time. The
-//! same rules serve targets ([`Members`]) and the entries themselves ([`Entries`]).
+//! A [`Membership`] is the state of one entry. It performs no I/O, and callers pass in the time. The
+//! same rules apply to targets ([`Members`]) and to the entries themselves ([`Entries`]).
 //!
-//! Announcements of one id have a total order: incarnation, leaving, address, sequence, and the
-//! remaining content as a tie-break. Each entry keeps the highest, so any order, loss or
-//! duplication of messages ends in the same state. The address stands before the sequence so that
-//! two processes that claim one id can't take turns: in one incarnation the higher address wins,
-//! and the other is reported as [`Verdict::Conflict`].
+//! Announcements of one id have a total order: incarnation, leaving state, address, sequence, and
+//! the remaining fields as a tie-break. Each entry keeps the highest one, so entries converge under
+//! any reordering, loss or duplication of messages. The address precedes the sequence so that two
+//! processes that claim one id do not alternate: within one incarnation the higher address wins, and
+//! announcements of the other process yield [`Verdict::Conflict`].
 //!
-//! A lease runs on the receiver's clock from the first receipt of each newer sequence. Without a
-//! lease a target is stale, and it is forgotten after [`FORGET_AFTER`]. Departed and forgotten ids
-//! are remembered for [`DEPARTED_MEMORY`], so that copies which still travel can't bring them back.
+//! A lease is measured on the receiver's clock from the first receipt of each newer sequence. A
+//! target without a lease is stale, and its record is removed after [`FORGET_AFTER`]. Departed and
+//! removed ids are kept as tombstones for [`DEPARTURE_RETENTION`], so that delayed copies of their
+//! announcements do not restore them.
 //!
-//! Rumours spread new announcements (see [`Gossip`]), and anti-entropy repairs what they miss (see
-//! [`SyncMessage`]). Two rules keep a dead target from living on in entries that start later: a
-//! stale announcement is passed on as stale, and only by an entry that had it fresh; and the
-//! memory of a departure is sent only to an entry that still lists the target.
+//! Rumours propagate new announcements (see [`Gossip`]), and anti-entropy repairs what they miss
+//! (see [`SyncMessage`]). Two rules keep a dead target from persisting through entries that start
+//! later: a stale announcement is forwarded as stale, and only by an entry that received it fresh;
+//! and a tombstone is sent only to an entry that still lists the target.
 
 mod announcement;
 mod gossip;
@@ -30,31 +31,31 @@
 
 use auburnbridge_types::Millis;
 
-/// The targets that an entry knows, grouped by service.
+/// Membership of the targets, grouped by service.
 pub type Members = Membership<Announcement>;
 
-/// The entries that an entry knows, grouped by data centre.
+/// Membership of the entries, grouped by data centre.
 pub type Entries = Membership<EntryAnnouncement>;
 
-/// Duration of a lease; targets announce themselves every second.
+/// Duration of a lease; targets send an announcement every second.
 pub const LEASE: Millis = Millis(5_000);
 
-/// Time without a newer sequence after which a stale id is forgotten.
+/// Time without a newer sequence or a successful request after which a stale record is removed.
 pub const FORGET_AFTER: Millis = Millis(10 * 60 * 1000);
 
-/// Time for which a departed or forgotten id is remembered.
+/// Time for which the tombstone of a departed or removed id is kept.
 ///
-/// It exceeds the hour for which regions lose contact with each other, plus [`FORGET_AFTER`].
-pub const DEPARTED_MEMORY: Millis = Millis(2 * 60 * 60 * 1000);
+/// Longer than a network partition of one hour between regions plus [`FORGET_AFTER`].
+pub const DEPARTURE_RETENTION: Millis = Millis(2 * 60 * 60 * 1000);
 
-/// Number of services or data centres.
+/// Maximum number of groups: services or data centres.
 pub const MAX_GROUPS: usize = 4_096;
 
-/// Number of ids that are present; the design scale has 54,000 targets.
+/// Maximum number of present ids; the design scale is 54,000 targets.
 pub const MAX_PRESENT: usize = 65_536;
 
-/// Number of remembered departures; the oldest is dropped first.
+/// Maximum number of tombstones; the oldest is dropped first.
 pub const MAX_DEPARTED: usize = 65_536;
 
-/// Number of announcements or versions in one message of the anti-entropy exchange.
+/// Maximum number of announcements or versions in one anti-entropy message.
 pub const MAX_PER_MESSAGE: usize = 4_096;
--- a/crates/auburnbridge_membership/src/membership.rs
+++ b/crates/auburnbridge_membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The announcements that one entry has accepted.
+//! Accepted announcements of one entry, with leases and tombstones.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,34 +6,34 @@
 use strum::{Display, IntoStaticStr};
 
 use crate::{
-    Announced, DEPARTED_MEMORY, Entries, EntryAnnouncement, FORGET_AFTER, LEASE, MAX_DEPARTED,
+    Announced, DEPARTURE_RETENTION, Entries, EntryAnnouncement, FORGET_AFTER, LEASE, MAX_DEPARTED,
     MAX_GROUPS, MAX_PRESENT, State,
 };
 
-/// What became of an announcement.
+/// Result of applying an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Verdict {
-    /// It is new and renews the lease.
+    /// The announcement is newer than the known one and renews the lease.
     Accepted,
-    /// It is new and ends the incarnation.
+    /// The announcement is newer than the known one and ends the incarnation.
     Left,
-    /// A newer one, or the same, is known.
+    /// The same or a newer announcement is already known.
     Outdated,
-    /// Another process with a higher address, or one that left, claims the id in the same
-    /// incarnation; the announcement is refused.
+    /// Rejected: another process, which has a higher address or has left, claims the id in the same
+    /// incarnation.
     Conflict,
-    /// A limit on counts refuses it.
+    /// Rejected: the limit on groups or present ids is reached.
     Full,
 }
 
-/// Whether a sender has a lease.
+/// Lease state of a sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Liveness {
-    /// A newer sequence arrived within the lease.
+    /// A newer sequence arrived within the lease duration.
     Fresh,
-    /// The lease ran out.
+    /// The lease expired.
     Stale,
 }
 
@@ -48,10 +48,10 @@
     pub(crate) announcement: A,
     pub(crate) content_hash: u64,
     received: Timestamp,
-    /// Received from an entry that had it without a lease.
+    /// Whether the announcement was received from an entry that held it without a lease.
     pub(crate) learned_stale: bool,
-    /// When real work last succeeded there, as far as it was reported.
-    worked: Option<Timestamp>,
+    /// Time of the last request that was reported to have succeeded on the target.
+    last_success: Option<Timestamp>,
 }
 
 #[derive(Clone, Debug)]
@@ -71,9 +71,11 @@
 }
 
 impl<A> Present<A> {
-    /// The last time at which the id was known to be there.
-    fn last_sign(&self) -> Timestamp {
-        self.worked.unwrap_or(self.received).max(self.received)
+    /// Time of the last newer announcement or successful request, whichever is later.
+    fn last_seen(&self) -> Timestamp {
+        self.last_success
+            .unwrap_or(self.received)
+            .max(self.received)
     }
 }
 
@@ -86,11 +88,11 @@
     }
 }
 
-/// Records of one group, with the digest over the present ones.
+/// Records of one group, with a hash over the present ones.
 #[derive(Clone, Debug)]
 pub(crate) struct Group<A: Announced> {
     pub(crate) records: BTreeMap<A::Id, Record<A>>,
-    /// Exclusive or of the content hashes, which makes each change a constant amount of work.
+    /// XOR of the content hashes, which makes an update O(1).
     pub(crate) hash: u64,
 }
 
@@ -103,16 +105,16 @@
     }
 }
 
-/// The announcements that one entry has accepted.
+/// Accepted announcements of one entry, with leases and tombstones.
 #[derive(Clone, Debug)]
 pub struct Membership<A: Announced> {
     pub(crate) groups: BTreeMap<A::Group, Group<A>>,
-    /// Departures by time, for their expiry.
+    /// Tombstones ordered by time of departure, for their expiry.
     departures: BTreeSet<(Timestamp, A::Group, A::Id)>,
     present: usize,
     pub(crate) hash: u64,
-    /// Number of exchanges that this entry answered, which rotates what a bounded message holds.
-    pub(crate) exchanges: usize,
+    /// Number of exchanges answered; rotates the group with which a bounded message begins.
+    pub(crate) answered_exchanges: usize,
 }
 
 impl<A: Announced> Default for Membership<A> {
@@ -122,13 +124,13 @@
             departures: BTreeSet::new(),
             present: 0,
             hash: 0,
-            exchanges: 0,
+            answered_exchanges: 0,
         }
     }
 }
 
 impl<A: Announced> Membership<A> {
-    /// Number of ids that are present, fresh or stale.
+    /// Number of present ids, fresh or stale.
     pub fn len(&self) -> usize {
         self.present
     }
@@ -138,33 +140,33 @@
         self.present == 0
     }
 
-    /// Number of departures that are remembered.
+    /// Number of tombstones.
     pub fn departed(&self) -> usize {
         self.departures.len()
     }
 
-    /// Takes an announcement from its sender.
+    /// Applies an announcement received from its sender.
     pub fn announce(&mut self, now: Timestamp, announcement: A) -> Verdict {
-        self.take(now, announcement, false)
+        self.apply(now, announcement, false)
     }
 
-    /// Takes announcements from another entry and returns the new ones, to be forwarded.
+    /// Applies announcements received from another entry and returns the new ones, to be forwarded.
     pub fn merge(&mut self, now: Timestamp, announcements: &[A]) -> Vec<A> {
         announcements
             .iter()
-            .filter(|announcement| self.take_is_new(now, announcement, false))
+            .filter(|announcement| self.apply_if_newer(now, announcement, false))
             .cloned()
             .collect()
     }
 
-    /// Takes announcements that another entry holds without a lease; they start without one.
+    /// Applies announcements that another entry holds without a lease; they get no lease here either.
     pub fn merge_stale(&mut self, now: Timestamp, announcements: &[A]) {
         for announcement in announcements {
-            self.take(now, announcement.clone(), true);
+            self.apply(now, announcement.clone(), true);
         }
     }
 
-    /// The present ids of a group, without those that left.
+    /// Announcements and liveness of the present ids of a group.
     pub fn view<'a>(
         &'a self,
         group: &A::Group,
@@ -180,12 +182,12 @@
             })
     }
 
-    /// What is known of an id: its last announcement, and whether that was its departure.
+    /// Last known announcement of an id; its state is `Leaving` if the id departed by announcement.
     pub fn get(&self, group: &A::Group, id: &A::Id) -> Option<&A> {
         self.record(group, id).map(Record::announcement)
     }
 
-    /// Every announcement, with the departures that are remembered.
+    /// All known announcements, including those of tombstones.
     pub fn iter(&self) -> impl Iterator<Item = &A> {
         self.groups
             .values()
@@ -193,14 +195,15 @@
             .map(Record::announcement)
     }
 
-    /// The groups that have records.
+    /// Groups that have records.
     pub fn groups(&self) -> impl Iterator<Item = &A::Group> {
         self.groups.keys()
     }
 
-    /// Notes that real work succeeded on an id. It renews no lease, but keeps a stale id from being
-    /// forgotten: a cut that hides a working target must not remove its capacity.
-    pub fn note_work(
+    /// Records that a request succeeded on a target. This does not renew the lease, but prevents the
+    /// removal of a stale record: a network partition that hides the announcements of a working
+    /// target must not remove its capacity.
+    pub fn record_success(
         &mut self,
         now: Timestamp,
         group: &A::Group,
@@ -214,45 +217,46 @@
         if let Some(Record::Present(present)) = record
             && present.announcement.incarnation() == incarnation
         {
-            present.worked = Some(now);
+            present.last_success = Some(now);
         }
     }
 
-    /// Forgets ids that have been stale for long, and departures that no message can undo.
+    /// Replaces records not seen for [`FORGET_AFTER`] by tombstones, and drops tombstones after
+    /// [`DEPARTURE_RETENTION`], when no delayed message can restore their ids.
     ///
     /// Visits every record; callers run it every few seconds.
     pub fn expire(&mut self, now: Timestamp) {
-        let forgotten: Vec<A> = self
+        let expired: Vec<A> = self
             .groups
             .values()
             .flat_map(|group| group.records.values())
             .filter_map(|record| match record {
-                Record::Present(present) if now.since(present.last_sign()) >= FORGET_AFTER => {
+                Record::Present(present) if now.since(present.last_seen()) >= FORGET_AFTER => {
                     Some(present.announcement.clone())
                 }
                 Record::Present(_) | Record::Departed(_) => None,
             })
             .collect();
-        for announcement in forgotten {
-            self.depart(now, announcement);
+        for announcement in expired {
+            self.record_departure(now, announcement);
         }
         while let Some((since, _, _)) = self.departures.first() {
-            if now.since(*since) < DEPARTED_MEMORY {
+            if now.since(*since) < DEPARTURE_RETENTION {
                 return;
             }
             self.drop_oldest_departure();
         }
     }
 
-    fn take_is_new(&mut self, now: Timestamp, announcement: &A, stale: bool) -> bool {
+    fn apply_if_newer(&mut self, now: Timestamp, announcement: &A, stale: bool) -> bool {
         let known = self.record(announcement.group(), announcement.id());
         if known.is_some_and(|known| !announcement.supersedes(known.announcement())) {
             return false;
         }
-        self.take(now, announcement.clone(), stale) != Verdict::Full
+        self.apply(now, announcement.clone(), stale) != Verdict::Full
     }
 
-    fn take(&mut self, now: Timestamp, announcement: A, stale: bool) -> Verdict {
+    fn apply(&mut self, now: Timestamp, announcement: A, stale: bool) -> Verdict {
         let known = self.record(announcement.group(), announcement.id());
         let is_present = matches!(known, Some(Record::Present(_)));
         if let Some(known) = known.map(Record::announcement)
@@ -264,18 +268,18 @@
                 Verdict::Outdated
             };
         }
-        if !self.has_room(&announcement, is_present) {
+        if !self.has_capacity_for(&announcement, is_present) {
             return Verdict::Full;
         }
         if announcement.state() == State::Leaving {
-            self.depart(now, announcement);
+            self.record_departure(now, announcement);
             return Verdict::Left;
         }
         self.insert_present(now, announcement, stale);
         Verdict::Accepted
     }
 
-    fn has_room(&self, announcement: &A, is_present: bool) -> bool {
+    fn has_capacity_for(&self, announcement: &A, is_present: bool) -> bool {
         if !self.groups.contains_key(announcement.group()) && self.groups.len() >= MAX_GROUPS {
             return false;
         }
@@ -286,21 +290,21 @@
         self.groups.get(group)?.records.get(id)
     }
 
-    /// Stores an announcement: a fresh one starts a lease, a stale one leaves the lease as it is.
+    /// Stores an announcement: a fresh one starts a new lease, a stale one leaves the lease unchanged.
     fn insert_present(&mut self, now: Timestamp, announcement: A, stale: bool) {
         if let Some(present) = self.present_mut(&announcement) {
             if !stale {
                 present.received = now;
                 present.learned_stale = false;
             }
-            if announcement.has_content_of(&present.announcement) {
+            if announcement.has_same_content(&present.announcement) {
                 present.announcement = announcement;
                 return;
             }
             let content_hash = announcement.content_hash();
-            let change = content_hash ^ present.content_hash;
+            let difference = content_hash ^ present.content_hash;
             present.content_hash = content_hash;
-            self.change_hash(announcement.group(), change);
+            self.xor_hashes(announcement.group(), difference);
             if let Some(present) = self.present_mut(&announcement) {
                 present.announcement = announcement;
             }
@@ -314,12 +318,12 @@
             content_hash,
             received: now,
             learned_stale: stale,
-            worked: None,
+            last_success: None,
         };
         let records = &mut self.groups.entry(group.clone()).or_default().records;
         records.insert(id, Record::Present(present));
         self.present += 1;
-        self.change_hash(&group, content_hash);
+        self.xor_hashes(&group, content_hash);
     }
 
     fn present_mut(&mut self, announcement: &A) -> Option<&mut Present<A>> {
@@ -330,15 +334,16 @@
         }
     }
 
-    fn change_hash(&mut self, group: &A::Group, change: u64) {
-        self.hash ^= change;
+    /// Updates the hash over all groups and the hash of `group`.
+    fn xor_hashes(&mut self, group: &A::Group, difference: u64) {
+        self.hash ^= difference;
         if let Some(group) = self.groups.get_mut(group) {
-            group.hash ^= change;
+            group.hash ^= difference;
         }
     }
 
-    /// Replaces the record of the id by the memory of its departure.
-    fn depart(&mut self, now: Timestamp, announcement: A) {
+    /// Replaces the record of the id by a tombstone.
+    fn record_departure(&mut self, now: Timestamp, announcement: A) {
         self.remove(&announcement);
         if self.departures.len() >= MAX_DEPARTED {
             self.drop_oldest_departure();
@@ -364,7 +369,7 @@
         match self.remove_record(group, id) {
             Some(Record::Present(present)) => {
                 self.present -= 1;
-                self.change_hash(group, present.content_hash);
+                self.xor_hashes(group, present.content_hash);
             }
             Some(Record::Departed(departed)) => {
                 self.departures
@@ -385,10 +390,11 @@
 }
 
 impl Entries {
-    /// The incarnation that `own` must take so that others accept it, or `None` when it stands.
+    /// Incarnation that `own` must adopt so that other entries accept its announcements, or `None` if
+    /// the current one suffices.
     ///
-    /// An entry has no disk to count its starts on: it begins with the time of its start, and when
-    /// it hears of an earlier process of its VM that ranks above it, it takes a higher number.
+    /// An entry has no disk on which to count its starts. Its incarnation is initially its start time;
+    /// when it learns of an earlier process of its VM with a higher rank, it adopts a higher number.
     pub fn incarnation_after_restart(&self, own: &EntryAnnouncement) -> Option<Incarnation> {
         let known = self.record(&own.data_centre, &own.vm)?.announcement();
         let is_own = known.boot == own.boot && known.state <= own.state;
--- a/crates/auburnbridge_membership/src/sync.rs
+++ b/crates/auburnbridge_membership/src/sync.rs
@@ -1,9 +1,10 @@
-//! The anti-entropy exchange between two entries.
+//! Anti-entropy exchange between two entries.
 //!
-//! It descends only where the two differ: one hash over everything, one hash per group, versions of
-//! each id in the groups that differ, and then the announcements. Entries that agree exchange one
-//! message of a few bytes. Messages are bounded; what does not fit waits for a later exchange, and
-//! each exchange begins at another group so that no difference blocks the others.
+//! The exchange descends only where the two entries differ: one hash over all groups, one hash per
+//! group, the versions of each id in the groups that differ, and then the announcements. Entries
+//! with equal state exchange one message of a few bytes. Message sizes are bounded: the rest is left
+//! to later exchanges, and each exchange begins at a different group so that a large difference in
+//! one group does not starve the others.
 
 use auburnbridge_types::{Incarnation, Sequence, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -11,7 +12,7 @@
 use crate::membership::{Group, Present, Record};
 use crate::{Announced, Liveness, MAX_GROUPS, MAX_PER_MESSAGE, Membership, State};
 
-/// One message of the exchange.
+/// Message of an anti-entropy exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(bound(
     serialize = "A: Serialize, A::Group: Serialize, A::Id: Serialize",
@@ -20,44 +21,44 @@
 pub enum SyncMessage<A: Announced> {
     /// Opens the exchange with the hash over all groups.
     Root(u64),
-    /// The hash of each group.
+    /// Hash of each group.
     Groups(Vec<GroupDigest<A::Group>>),
-    /// The versions in the groups that differ.
+    /// Versions in the groups that differ.
     Versions(Vec<GroupVersions<A::Group, A::Id>>),
-    /// Announcements that the receiver lacks.
+    /// Announcements that the receiver lacks, and ids that the sender requests.
     Offer(Offer<A>),
 }
 
 /// Hash over the present ids of one group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupDigest<G> {
-    /// The group.
+    /// Key of the group.
     pub group: G,
-    /// Exclusive or of its content hashes.
+    /// XOR of the content hashes.
     pub hash: u64,
 }
 
 /// Versions of the present ids of one group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupVersions<G, I> {
-    /// The group.
+    /// Key of the group.
     pub group: G,
     /// Whether all present ids are listed.
     pub complete: bool,
-    /// The versions, sorted by id.
+    /// Versions sorted by id.
     pub versions: Vec<Version<I>>,
 }
 
 /// Version of one announcement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version<I> {
-    /// The sender of the announcement.
+    /// Id of the announcement's sender.
     pub id: I,
-    /// Its incarnation.
+    /// Incarnation of the announcement's sender.
     pub incarnation: Incarnation,
-    /// Its sequence.
+    /// Sequence of the announcement.
     pub sequence: Sequence,
-    /// Hash of the content.
+    /// Hash of the announcement without its sequence.
     pub content_hash: u64,
 }
 
@@ -68,11 +69,11 @@
     deserialize = "A: Deserialize<'de>, A::Group: Deserialize<'de>, A::Id: Deserialize<'de>"
 ))]
 pub struct Offer<A: Announced> {
-    /// Announcements with a lease at the sender, and departures.
+    /// Announcements with a lease at the sender, and announced departures.
     pub fresh: Vec<A>,
-    /// Announcements whose lease at the sender ran out.
+    /// Announcements whose lease at the sender expired.
     pub stale: Vec<A>,
-    /// Ids whose announcements the sender asks for.
+    /// Ids whose announcements the sender requests.
     pub wanted: Vec<(A::Group, A::Id)>,
 }
 
@@ -95,7 +96,7 @@
         self.len() >= MAX_PER_MESSAGE
     }
 
-    /// Offers a record, unless it was learned stale: only entries that had it fresh pass it on.
+    /// Adds a record unless it was learned stale: only entries that received it fresh forward it.
     fn push(&mut self, record: &Record<A>, now: Timestamp) {
         match record {
             Record::Present(present) => match present.liveness(now) {
@@ -113,13 +114,13 @@
 }
 
 impl<A: Announced> Membership<A> {
-    /// Opens an exchange.
+    /// First message of a new exchange.
     pub fn open_exchange(&self) -> SyncMessage<A> {
         SyncMessage::Root(self.hash)
     }
 
-    /// Takes one message of an exchange. Returns the reply, and the announcements that are new and
-    /// to be forwarded.
+    /// Handles one message of an exchange. Returns the reply, if any, and the new announcements, to be
+    /// forwarded.
     pub fn exchange(
         &mut self,
         now: Timestamp,
@@ -135,7 +136,7 @@
                 (Some(SyncMessage::Versions(versions)), Vec::new())
             }
             SyncMessage::Versions(listed) => {
-                let offer = self.compare(now, &listed);
+                let offer = self.compare_versions(now, &listed);
                 let reply = (offer.len() > 0).then_some(SyncMessage::Offer(offer));
                 (reply, Vec::new())
             }
@@ -154,7 +155,7 @@
             .collect()
     }
 
-    /// Versions of the groups whose hash differs, including those that only one side has.
+    /// Versions of the groups whose hashes differ, including groups that only one side has.
     fn differing_versions(
         &mut self,
         digests: &[GroupDigest<A::Group>],
@@ -179,13 +180,13 @@
         if differing.is_empty() {
             return Vec::new();
         }
-        let first = self.exchanges % differing.len();
-        self.exchanges = self.exchanges.wrapping_add(1);
+        let first = self.answered_exchanges % differing.len();
+        self.answered_exchanges = self.answered_exchanges.wrapping_add(1);
         differing.rotate_left(first);
-        let mut room = MAX_PER_MESSAGE;
+        let mut remaining = MAX_PER_MESSAGE;
         let mut listed = Vec::new();
         for name in differing {
-            if room == 0 {
+            if remaining == 0 {
                 break;
             }
             let versions = self
@@ -193,8 +194,8 @@
                 .get(name)
                 .map(Group::versions)
                 .unwrap_or_default();
-            let taken = versions.len().min(room);
-            room -= taken;
+            let taken = versions.len().min(remaining);
+            remaining -= taken;
             listed.push(GroupVersions {
                 group: name.clone(),
                 complete: taken == versions.len(),
@@ -204,8 +205,12 @@
         listed
     }
 
-    /// Offers what is newer here and asks for what is newer there.
-    fn compare(&self, now: Timestamp, listed: &[GroupVersions<A::Group, A::Id>]) -> Offer<A> {
+    /// Offers records that are newer here and requests those that are newer on the other entry.
+    fn compare_versions(
+        &self,
+        now: Timestamp,
+        listed: &[GroupVersions<A::Group, A::Id>],
+    ) -> Offer<A> {
         let mut offer = Offer::default();
         for theirs in listed {
             for version in &theirs.versions {
@@ -228,9 +233,9 @@
         version: &Version<A::Id>,
         offer: &mut Offer<A>,
     ) {
-        let want = || (group.clone(), version.id.clone());
+        let wanted_id = || (group.clone(), version.id.clone());
         let Some(record) = self.record(group, &version.id) else {
-            offer.wanted.push(want());
+            offer.wanted.push(wanted_id());
             return;
         };
         let announcement = record.announcement();
@@ -243,18 +248,18 @@
         if same_content && ours == theirs {
             return;
         }
-        // Within an incarnation, other content outranks the sequence (a departure, another
-        // process), so both sides show what they have.
-        let undecided = ours.0 == theirs.0 && !same_content;
-        if undecided || ours > theirs {
+        // Within an incarnation, a departure or a conflicting process outranks the sequence. Versions
+        // do not show which side has it, so both sides send their announcements.
+        let is_ambiguous = ours.0 == theirs.0 && !same_content;
+        if is_ambiguous || ours > theirs {
             offer.push(record, now);
         }
-        if undecided || ours < theirs {
-            offer.wanted.push(want());
+        if is_ambiguous || ours < theirs {
+            offer.wanted.push(wanted_id());
         }
     }
 
-    /// Offers the present ids of a group that the other entry does not list.
+    /// Offers the present records of a group that the other entry does not list.
     fn offer_unlisted(
         &self,
         now: Timestamp,
--- a/crates/auburnbridge_membership/tests/membership.rs
+++ b/crates/auburnbridge_membership/tests/membership.rs
@@ -1,9 +1,9 @@
-//! Guards leases, departures and the convergence of entries.
+//! Leases, departures and convergence of the membership of entries.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use auburnbridge_membership::{
-    Announced, Announcement, DEPARTED_MEMORY, Entries, EntryAnnouncement, FORGET_AFTER, Gossip,
+    Announced, Announcement, DEPARTURE_RETENTION, Entries, EntryAnnouncement, FORGET_AFTER, Gossip,
     LEASE, Liveness, MAX_DEPARTED, MAX_PRESENT, Members, Membership, State, SyncMessage, Verdict,
 };
 use auburnbridge_types::{Incarnation, Millis, Revision, Sequence, Slots, Timestamp};
@@ -49,7 +49,7 @@
         .collect()
 }
 
-/// Runs one whole exchange, with each message encoded and decoded as on the wire.
+/// Runs a complete exchange; every message is encoded and decoded as on the wire.
 fn exchange<A>(now: Timestamp, opener: &mut Membership<A>, other: &mut Membership<A>)
 where
     A: Announced<Group: Serialize + DeserializeOwned, Id: Serialize + DeserializeOwned>
@@ -66,20 +66,30 @@
     }
 }
 
-/// Guards against an older, duplicated or foreign announcement that replaces a newer one.
+/// Guards against an older or duplicate announcement, or one of a conflicting process, replacing a
+/// newer one.
 #[test]
-fn table_of_verdicts() {
-    let other = "10.0.0.2:80";
+fn older_duplicate_and_conflicting_announcements_are_rejected() {
+    let higher_address = "10.0.0.2:80";
     let steps = [
         (ready("a", 1, 5), Verdict::Accepted),
         (ready("a", 1, 5), Verdict::Outdated),
         (ready("a", 1, 4), Verdict::Outdated),
         (ready("a", 1, 6), Verdict::Accepted),
-        (at_address(ready("a", 1, 1), other), Verdict::Accepted),
+        (
+            at_address(ready("a", 1, 1), higher_address),
+            Verdict::Accepted,
+        ),
         (ready("a", 1, 7), Verdict::Conflict),
-        (at_address(ready("a", 0, 9), other), Verdict::Outdated),
+        (
+            at_address(ready("a", 0, 9), higher_address),
+            Verdict::Outdated,
+        ),
         (leaving("a", 1, 2), Verdict::Left),
-        (at_address(ready("a", 1, 9), other), Verdict::Conflict),
+        (
+            at_address(ready("a", 1, 9), higher_address),
+            Verdict::Conflict,
+        ),
         (ready("a", 1, 9), Verdict::Outdated),
         (ready("a", 2, 1), Verdict::Accepted),
         (leaving("a", 1, 99), Verdict::Outdated),
@@ -94,8 +104,8 @@
     assert_eq!((members.len(), members.departed()), (1, 1));
 }
 
-/// Guards against a lease that a duplicate renews, and against a forgotten target that a late copy
-/// of its last announcement brings back.
+/// Guards against a duplicate that renews a lease, and against a delayed copy of the last
+/// announcement that restores a removed target.
 #[test]
 fn lease_runs_from_the_first_receipt_of_a_sequence() {
     let mut members = Members::default();
@@ -107,19 +117,20 @@
     members.announce(START.after(LEASE), ready("a", 1, 2));
     assert_eq!(liveness(&members, LEASE), Liveness::Fresh);
 
-    let forgotten = START.after(LEASE).after(FORGET_AFTER);
-    members.expire(Timestamp(forgotten.0 - 1));
+    let removed_at = START.after(LEASE).after(FORGET_AFTER);
+    members.expire(Timestamp(removed_at.0 - 1));
     assert_eq!(members.len(), 1);
-    members.expire(forgotten);
+    members.expire(removed_at);
     assert_eq!((members.len(), members.departed()), (0, 1));
-    assert!(members.merge(forgotten, &[ready("a", 1, 2)]).is_empty());
-    assert_eq!(members.merge(forgotten, &[ready("a", 1, 3)]).len(), 1);
-    members.announce(forgotten, leaving("a", 1, 4));
-    members.expire(forgotten.after(DEPARTED_MEMORY));
+    assert!(members.merge(removed_at, &[ready("a", 1, 2)]).is_empty());
+    assert_eq!(members.merge(removed_at, &[ready("a", 1, 3)]).len(), 1);
+    members.announce(removed_at, leaving("a", 1, 4));
+    members.expire(removed_at.after(DEPARTURE_RETENTION));
     assert_eq!((members.len(), members.departed()), (0, 0));
 }
 
-/// Guards against a dead target that lives on because entries that start later pass it around.
+/// Guards against a dead target that persists because entries that start later keep forwarding its
+/// announcement to each other.
 #[test]
 fn stale_announcements_spread_one_hop_and_get_no_lease() {
     let (mut first, mut second, mut third) =
@@ -136,7 +147,7 @@
     assert_eq!(view(&second, now), [(ready("a", 1, 3), Liveness::Fresh)]);
 }
 
-/// Guards against unbounded memory under a flood of ids.
+/// Guards against unbounded memory use when very many ids are announced.
 #[test]
 fn counts_are_bounded() {
     let mut members = Members::default();
@@ -171,7 +182,7 @@
     }
 }
 
-/// Guards against entries that know only a seed and never hear of each other.
+/// Guards against entries that know only a seed and never discover each other.
 #[test]
 fn entries_learn_of_each_other_from_one_seed() {
     const COUNT: u8 = 16;
@@ -182,7 +193,7 @@
             entries
         })
         .collect();
-    // Two rounds in which each entry opens an exchange with the seed, which is the first one.
+    // The first entry is the seed. In each of two rounds, every other entry opens an exchange with it.
     for _ in 0..2 {
         let (seed, others) = all.split_first_mut().unwrap();
         for opener in others {
@@ -194,8 +205,8 @@
     }
 }
 
-/// Guards against a restarted entry that its peers ignore, because an earlier process of its VM
-/// ranks above it.
+/// Guards against a restarted entry whose announcements are ignored because those of an earlier
+/// process of its VM have a higher rank.
 #[test]
 fn restarted_entry_outranks_its_earlier_process() {
     let entry = |incarnation, boot, state| EntryAnnouncement {
@@ -231,10 +242,10 @@
     }
 }
 
-/// Guards against a choice of peers that repeats one, or that a seed does not reproduce, and
-/// against an old rumour that displaces a newer one.
+/// Guards against a selection of peers that contains duplicates or is not reproducible from the
+/// seed, and against an older rumour that replaces a newer one.
 #[test]
-fn gossip_follows_from_its_seed() {
+fn gossip_is_reproducible_and_keeps_the_newest_rumours() {
     let peers = ["a", "b", "c", "d", "e"];
     let rounds = |seed| {
         let mut gossip = Gossip::<Announcement>::new(3, seed);
@@ -271,7 +282,8 @@
     )
 }
 
-/// What all entries must agree on: the highest announcement of each target, without its sequence.
+/// State to which all entries must converge: the highest announcement of each target, without its
+/// sequence.
 fn expected_view(announcements: &[Announcement]) -> BTreeMap<String, Announcement> {
     let mut highest: BTreeMap<String, Announcement> = BTreeMap::new();
     let rank = |a: &Announcement| (a.incarnation, a.state, a.address, a.sequence, a.slots);
@@ -290,7 +302,7 @@
     highest
 }
 
-fn seen_view(members: &Members) -> BTreeMap<String, Announcement> {
+fn current_view(members: &Members) -> BTreeMap<String, Announcement> {
     view(members, START)
         .into_iter()
         .map(|(announcement, _)| {
@@ -306,8 +318,8 @@
         .collect()
 }
 
-/// The seed is fixed, so that each run gives the same verdict.
-fn schedules() -> ProptestConfig {
+/// Fixed seed, so that every run tests the same cases.
+fn proptest_config_with_fixed_seed() -> ProptestConfig {
     ProptestConfig {
         cases: 512,
         rng_seed: RngSeed::Fixed(1),
@@ -317,10 +329,10 @@
 }
 
 proptest! {
-    #![proptest_config(schedules())]
+    #![proptest_config(proptest_config_with_fixed_seed())]
 
-    /// Guards against entries that differ for good after lost, reordered or duplicated rumours,
-    /// and against a target that is ready again in an incarnation that it left.
+    /// Guards against entries that differ permanently after lost, reordered or duplicated rumours, and
+    /// against a target that becomes ready again in an incarnation that it left.
     #[test]
     fn one_full_exchange_converges(
         deliveries in prop::collection::vec((announcement(), 1..8u8), 1..40),
@@ -336,7 +348,7 @@
                 if announcement.state == State::Leaving {
                     left[at].insert((announcement.target.to_string(), announcement.incarnation));
                 }
-                for (target, seen) in seen_view(entry) {
+                for (target, seen) in current_view(entry) {
                     prop_assert!(!left[at].contains(&(target, seen.incarnation)));
                 }
             }
@@ -349,49 +361,49 @@
         }
         let announced: Vec<_> = deliveries.into_iter().map(|(announced, _)| announced).collect();
         for entry in &entries {
-            prop_assert_eq!(seen_view(entry), expected_view(&announced));
+            prop_assert_eq!(current_view(entry), expected_view(&announced));
         }
     }
 }
 
-/// Guards against a target that is forgotten while real work on it succeeds, because a cut hides its
-/// announcements; and against work that renews a lease or outlives a departure.
+/// Guards against removing a target on which requests succeed while a network partition hides its
+/// announcements, and against successful requests that renew a lease or revert a departure.
 #[test]
-fn work_keeps_a_stale_target_without_renewing_its_lease() {
+fn successful_requests_keep_a_stale_target_without_renewing_its_lease() {
     let mut members = Members::default();
-    let hidden = ready("a", 1, 0);
-    let work = |members: &mut Members, now, incarnation| {
-        members.note_work(
+    let partitioned = ready("a", 1, 0);
+    let record = |members: &mut Members, now, incarnation| {
+        members.record_success(
             now,
-            &hidden.service,
-            &hidden.target,
+            &partitioned.service,
+            &partitioned.target,
             Incarnation(incarnation),
         );
     };
-    members.announce(START, hidden.clone());
+    members.announce(START, partitioned.clone());
     members.announce(START, ready("b", 1, 0));
     let later = START.after(FORGET_AFTER);
-    work(&mut members, later, 1);
+    record(&mut members, later, 1);
     members.expire(later);
     assert_eq!(
         view(&members, later),
-        [(hidden.clone(), Liveness::Stale)],
-        "only the target without work is forgotten"
+        [(partitioned.clone(), Liveness::Stale)],
+        "only the target without successful requests is removed"
     );
     let much_later = later.after(FORGET_AFTER);
-    work(&mut members, much_later, 2);
+    record(&mut members, much_later, 2);
     members.expire(much_later);
     assert_eq!(
         view(&members, much_later),
         [],
-        "work of another life is no sign"
+        "requests to another incarnation do not prevent removal"
     );
 
     members.announce(much_later, ready("c", 1, 0));
     members.announce(much_later, leaving("c", 1, 1));
-    members.note_work(
+    members.record_success(
         much_later,
-        &hidden.service,
+        &partitioned.service,
         &"c".parse().unwrap(),
         Incarnation(1),
     );
