--- a/crates/auburnbridge_membership/src/lib.rs
+++ b/crates/auburnbridge_membership/src/lib.rs
@@ -1,13 +1,13 @@
 //! Membership of targets and entries: announcements, leases, departures and gossip.
 //!
-//! A [`Membership`] is the state of one entry. It performs no I/O, and callers pass in the time. The
-//! same rules apply to targets ([`Members`]) and to the entries themselves ([`Entries`]).
+//! A [`Membership`] is the state of one entry. It performs no I/O, and callers pass in the time.
+//! The same rules apply to targets ([`Members`]) and to the entries themselves ([`Entries`]).
 //!
 //! Announcements of one id have a total order: incarnation, leaving state, address, sequence, and
 //! the remaining fields as a tie-break. Each entry keeps the highest one, so entries converge under
 //! any reordering, loss or duplication of messages. The address precedes the sequence so that two
-//! processes that claim one id do not alternate: within one incarnation the higher address wins, and
-//! announcements of the other process yield [`Verdict::Conflict`].
+//! processes that claim one id do not alternate: within one incarnation the higher address wins,
+//! and announcements of the other process yield [`Verdict::Conflict`].
 //!
 //! A lease is measured on the receiver's clock from the first receipt of each newer sequence. A
 //! target without a lease is stale, and its record is removed after [`FORGET_AFTER`]. Departed and
--- a/crates/auburnbridge_membership/src/membership.rs
+++ b/crates/auburnbridge_membership/src/membership.rs
@@ -159,7 +159,7 @@
             .collect()
     }
 
-    /// Applies announcements that another entry holds without a lease; they get no lease here either.
+    /// Applies announcements that another entry holds without a lease; they start no lease here.
     pub fn merge_stale(&mut self, now: Timestamp, announcements: &[A]) {
         for announcement in announcements {
             self.apply(now, announcement.clone(), true);
@@ -200,8 +200,8 @@
         self.groups.keys()
     }
 
-    /// Records that a request succeeded on a target. This does not renew the lease, but prevents the
-    /// removal of a stale record: a network partition that hides the announcements of a working
+    /// Records that a request succeeded on a target. This does not renew the lease, but prevents
+    /// the removal of a stale record: a network partition that hides the announcements of a working
     /// target must not remove its capacity.
     pub fn record_success(
         &mut self,
@@ -290,7 +290,8 @@
         self.groups.get(group)?.records.get(id)
     }
 
-    /// Stores an announcement: a fresh one starts a new lease, a stale one leaves the lease unchanged.
+    /// Stores an announcement: a fresh one starts a new lease, a stale one leaves the lease
+    /// unchanged.
     fn insert_present(&mut self, now: Timestamp, announcement: A, stale: bool) {
         if let Some(present) = self.present_mut(&announcement) {
             if !stale {
@@ -390,11 +391,12 @@
 }
 
 impl Entries {
-    /// Incarnation that `own` must adopt so that other entries accept its announcements, or `None` if
-    /// the current one suffices.
+    /// Incarnation that `own` must adopt so that other entries accept its announcements, or `None`
+    /// if the current one suffices.
     ///
-    /// An entry has no disk on which to count its starts. Its incarnation is initially its start time;
-    /// when it learns of an earlier process of its VM with a higher rank, it adopts a higher number.
+    /// An entry has no disk on which to count its starts. Its incarnation is initially its start
+    /// time; when it learns of an earlier process of its VM with a higher rank, it adopts a higher
+    /// number.
     pub fn incarnation_after_restart(&self, own: &EntryAnnouncement) -> Option<Incarnation> {
         let known = self.record(&own.data_centre, &own.vm)?.announcement();
         let is_own = known.boot == own.boot && known.state <= own.state;
--- a/crates/auburnbridge_membership/src/sync.rs
+++ b/crates/auburnbridge_membership/src/sync.rs
@@ -2,9 +2,9 @@
 //!
 //! The exchange descends only where the two entries differ: one hash over all groups, one hash per
 //! group, the versions of each id in the groups that differ, and then the announcements. Entries
-//! with equal state exchange one message of a few bytes. Message sizes are bounded: the rest is left
-//! to later exchanges, and each exchange begins at a different group so that a large difference in
-//! one group does not starve the others.
+//! with equal state exchange one message of a few bytes. Message sizes are bounded: the rest is
+//! left to later exchanges, and each exchange begins at a different group so that a large
+//! difference in one group does not starve the others.
 
 use auburnbridge_types::{Incarnation, Sequence, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -119,8 +119,8 @@
         SyncMessage::Root(self.hash)
     }
 
-    /// Handles one message of an exchange. Returns the reply, if any, and the new announcements, to be
-    /// forwarded.
+    /// Handles one message of an exchange. Returns the reply, if any, and the new announcements, to
+    /// be forwarded.
     pub fn exchange(
         &mut self,
         now: Timestamp,
@@ -248,8 +248,8 @@
         if same_content && ours == theirs {
             return;
         }
-        // Within an incarnation, a departure or a conflicting process outranks the sequence. Versions
-        // do not show which side has it, so both sides send their announcements.
+        // Within an incarnation, a departure or a conflicting process outranks the sequence.
+        // Versions do not show which side has it, so both sides send their announcements.
         let is_ambiguous = ours.0 == theirs.0 && !same_content;
         if is_ambiguous || ours > theirs {
             offer.push(record, now);
