--- a/crates/auburnbridge_entry/src/admission.rs
+++ b/crates/auburnbridge_entry/src/admission.rs
@@ -1,7 +1,7 @@
-//! Waiting for a start under the limits of a service.
+//! Admission control for the requests of a service.
 //!
-//! The queue decides who starts next; this module lets requests wait for that decision and counts
-//! them as running until their permit is dropped.
+//! The queue decides which request starts next. This module suspends requests until that decision
+//! and counts them as running until their permit is dropped.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,23 +14,24 @@
 use futures_lite::FutureExt;
 use parking_lot::Mutex;
 
-/// Marks a running request that ended without a measured answer.
+/// Value of `answer_ms` for a request without a measured answer.
 const NO_ANSWER: u64 = u64::MAX;
 
-/// The waiting and running requests of one service.
+/// Waiting and running requests of one service.
 pub(crate) struct Admission {
     queue: Mutex<AdmissionQueue<Sender<Permit>>>,
     clock: Arc<dyn Clock>,
 }
 
-/// The right of one request to run; dropping it lets the next one start.
+/// Permission for one request to run; dropping it admits the next request.
 pub(crate) struct Permit {
     admission: Arc<Admission>,
     class: RequestClass,
+    /// Time that the target took to answer, or [`NO_ANSWER`].
     answer_ms: AtomicU64,
 }
 
-/// Time after which a request that was not admitted may be sent again.
+/// Rejection of a request, with the time after which it may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NotAdmitted {
     pub(crate) retry_after: Millis,
@@ -44,23 +45,23 @@
         }
     }
 
-    /// Takes over a change of the rules.
+    /// Applies the admission policy of new rules.
     pub(crate) fn set_policy(&self, policy: AdmissionPolicy) {
         self.queue.lock().set_policy(policy);
     }
 
-    /// Takes over the slots in use.
+    /// Sets the number of slots of the targets in use.
     pub(crate) fn set_slots(self: &Arc<Self>, slots: Slots) {
         self.queue.lock().set_slots(slots);
         self.start_next();
     }
 
-    /// Counts a shed of a target, which lowers the limit of running requests.
+    /// Records that a target shed a request, which lowers the concurrency limit.
     pub(crate) fn record_shed(&self) {
         self.queue.lock().record_shed();
     }
 
-    /// Waits until the request may run; dropping the future gives the place up.
+    /// Waits until the request may run; dropping the future removes it from the queue.
     pub(crate) async fn admit(
         self: &Arc<Self>,
         class: RequestClass,
@@ -85,42 +86,42 @@
 
     async fn wait_for_permit(&self, rx: &Receiver<Permit>, deadline: Timestamp) -> Option<Permit> {
         let permit = async { rx.recv().await.ok() };
-        let left = deadline.since(self.clock.now());
-        let late = async {
-            self.clock.sleep(left).await;
+        let remaining = deadline.since(self.clock.now());
+        let timeout = async {
+            self.clock.sleep(remaining).await;
             None
         };
-        permit.or(late).await
+        permit.or(timeout).await
     }
 
-    /// Hands permits to the requests that may start now.
+    /// Sends a permit to each request that may start now.
     fn start_next(self: &Arc<Self>) {
         let now = self.clock.now();
-        let mut starts = Vec::new();
+        let mut admitted = Vec::new();
         {
             let mut queue = self.queue.lock();
             while let Some(next) = queue.next(now) {
                 match next {
-                    Next::Start(waiting) => starts.push(waiting),
-                    // Dropping the sender tells the request.
+                    Next::Start(waiting) => admitted.push(waiting),
+                    // Dropping the sender ends the wait of the request.
                     Next::Expired(_) => {}
                 }
             }
         }
-        for waiting in starts {
+        for waiting in admitted {
             let permit = Permit {
                 admission: Arc::clone(self),
                 class: waiting.class,
                 answer_ms: AtomicU64::new(NO_ANSWER),
             };
-            // A request that is gone gives the permit back, and its drop starts the next one.
+            // If the request no longer waits, the permit is dropped, which admits the next request.
             let _ = waiting.item.try_send(permit);
         }
     }
 }
 
 impl Permit {
-    /// Notes the time that the target took to answer.
+    /// Records the time that the target took to answer.
     pub(crate) fn record_answer(&self, time: Millis) {
         self.answer_ms.store(time.0, Ordering::Relaxed);
     }
--- a/crates/auburnbridge_entry/src/attempt.rs
+++ b/crates/auburnbridge_entry/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One exchange with a target, and what its result says about the request and the target.
+//! One exchange with a target, and the classification of its result for the request and the target.
 
 use auburnbridge_caller::{Disconnect, OUTCOME_HEADER};
 use auburnbridge_http::{FramingError, Request, Response};
@@ -15,46 +15,47 @@
 use crate::keyed::REPLAYED_HEADER;
 use crate::request::{CallerRequest, DEADLINE_HEADER};
 
-/// Header that tells a target which attempt it runs.
+/// Header of a request to a target with the id of the attempt.
 pub const ATTEMPT_HEADER: &str = "Auburnbridge-Attempt";
-/// Header of a target's answer that says that it did not run the request.
+/// Header of a target's answer that states that the target did not run the request.
 pub const SHED_HEADER: &str = "Auburnbridge-Shed";
 
-/// Time without an answer that counts against a target even if the route allows more.
-const SILENCE: Millis = Millis(1_000);
+/// Time without an answer that counts as a timeout of the target even if the route allows more.
+const UNRESPONSIVE_AFTER: Millis = Millis(1_000);
 
 /// Result of one exchange with a target.
-pub(crate) enum Attempted {
-    /// The target's whole answer.
+pub(crate) enum AttemptResult {
+    /// Complete answer of the target.
     Answered(Response),
-    /// The target did not run the request, because no slot was free.
+    /// The target had no free slot and did not run the request.
     Shed,
-    /// No byte was written.
+    /// No byte was written to the target.
     NotSent(NotSent),
-    /// The request may have run.
+    /// The target may have run the request.
     Unknown { reason: Unknown, crashed: bool },
     /// The caller disconnected, and the exchange was cancelled.
     Cancelled,
 }
 
 impl Entry {
-    /// Runs one exchange on the assigned target and takes its result as evidence.
+    /// Runs one exchange with the assigned target and reports its result as evidence about the
+    /// target.
     ///
-    /// `disconnect` cancels the exchange, but not the check whether its target crashed.
+    /// `disconnect` cancels the exchange, but not the check whether the target crashed.
     pub(crate) async fn attempt(
         &self,
         req: &CallerRequest,
         attempt: &AttemptId,
         assignment: Assignment,
         disconnect: Option<&Disconnect>,
-    ) -> Attempted {
+    ) -> AttemptResult {
         let start = self.ports.clock.now();
         info!(
             "routing service={} target={} attempt={attempt} class={} {}",
             req.route.service,
             assignment.target(),
             req.route.class,
-            assignment.figures()
+            assignment.log_fields()
         );
         let exchange = self.exchange(req, attempt, &assignment, start);
         let exchange = match disconnect {
@@ -62,9 +63,9 @@
             None => Some(exchange.await),
         };
         let is_reused = exchange.as_ref().is_some_and(|exchange| exchange.reused);
-        let attempted = match exchange {
-            Some(exchange) => self.judge(exchange, &assignment).await,
-            None => Attempted::Cancelled,
+        let result = match exchange {
+            Some(exchange) => self.classify(exchange, &assignment).await,
+            None => AttemptResult::Cancelled,
         };
         let now = self.ports.clock.now();
         let time = now.since(start);
@@ -72,14 +73,14 @@
             "exchange service={} target={} attempt={attempt} reused={is_reused} time={time} result={}",
             req.route.service,
             assignment.target(),
-            attempted.summary()
+            result.summary()
         );
         let service = ("service", req.route.service.as_str());
         let metrics = &self.ports.metrics;
-        metrics.count(Counter::Exchange, &[service, ("result", attempted.name())]);
+        metrics.count(Counter::Exchange, &[service, ("result", result.name())]);
         metrics.time(Timer::ExchangeTime, time, &[service]);
-        assignment.finish(now, attempted.observation(time, req.route.timeout));
-        attempted
+        assignment.finish(now, result.observation(time, req.route.timeout));
+        result
     }
 
     async fn exchange(
@@ -89,7 +90,7 @@
         assignment: &Assignment,
         now: Timestamp,
     ) -> Exchange {
-        let message = outgoing(req, attempt, now);
+        let message = outgoing_request(req, attempt, now);
         let limits = self
             .answer_limits
             .clone()
@@ -101,46 +102,48 @@
             .await
     }
 
-    /// Sorts the result of an exchange; after a broken connection, asks whether the target crashed.
-    async fn judge(&self, exchange: Exchange, assignment: &Assignment) -> Attempted {
+    /// Classifies the result of an exchange; after a lost connection, checks whether the target
+    /// crashed.
+    async fn classify(&self, exchange: Exchange, assignment: &Assignment) -> AttemptResult {
         match exchange.result {
-            ExchangeResult::Answered(response) if is_shed(&response) => Attempted::Shed,
+            ExchangeResult::Answered(response) if is_shed(&response) => AttemptResult::Shed,
             ExchangeResult::Answered(mut response) => {
-                // These headers are the entry's own statements about the request.
+                // Only the entry may set these headers.
                 response.headers.remove(OUTCOME_HEADER);
                 response.headers.remove(REPLAYED_HEADER);
-                Attempted::Answered(response)
+                AttemptResult::Answered(response)
             }
-            ExchangeResult::NotSent(reason) => Attempted::NotSent(reason),
+            ExchangeResult::NotSent(reason) => AttemptResult::NotSent(reason),
             ExchangeResult::Unknown {
                 reason,
                 answer_started,
             } => {
-                let broke = matches!(reason, Unknown::Framing(error) if is_disconnect(error));
+                let connection_lost =
+                    matches!(reason, Unknown::Framing(error) if is_connection_loss(error));
                 let targets = &self.ports.targets;
-                let crashed = broke
+                let crashed = connection_lost
                     && !answer_started
                     && targets.refuses_connections(assignment.address()).await;
-                Attempted::Unknown { reason, crashed }
+                AttemptResult::Unknown { reason, crashed }
             }
         }
     }
 }
 
-/// The result of `future`, unless the caller disconnects before it is there.
+/// Result of `future`, or `None` if the caller disconnects before it completes.
 pub(crate) async fn unless_disconnected<T>(
     disconnect: &Disconnect,
     future: impl Future<Output = T>,
 ) -> Option<T> {
-    let gone = async {
+    let disconnected = async {
         disconnect.wait().await;
         None
     };
-    // A request whose caller is gone already must not reach the target.
-    gone.or(async { Some(future.await) }).await
+    // `disconnected` is polled first: the request of a disconnected caller must not reach a target.
+    disconnected.or(async { Some(future.await) }).await
 }
 
-impl Attempted {
+impl AttemptResult {
     fn name(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
@@ -163,7 +166,7 @@
         }
     }
 
-    /// What the result says about the target after `time`; the route allows `timeout`.
+    /// Evidence about the target, given the `time` of the attempt and the `timeout` of the route.
     fn observation(&self, time: Millis, timeout: Millis) -> Observation {
         match self {
             Self::Answered(response) if response.status >= 500 => Observation::ServerError,
@@ -171,14 +174,14 @@
             Self::Shed => Observation::Shed,
             Self::NotSent(reason) if reason.is_local() => Observation::NotAttributable,
             Self::NotSent(_) => Observation::ConnectFailed,
-            // A request that crashes targets is no evidence; later refused connections are.
+            // The request may have caused the crash; connections refused later count as evidence.
             Self::Cancelled | Self::Unknown { crashed: true, .. } => Observation::NotAttributable,
             Self::Unknown { reason, .. } if reason.is_local() => Observation::NotAttributable,
-            // A caller with a short deadline must not make a healthy target look sick.
+            // A short deadline of the caller says nothing about the health of the target.
             Self::Unknown {
                 reason: Unknown::Deadline,
                 ..
-            } if time < timeout.min(SILENCE) => Observation::NotAttributable,
+            } if time < timeout.min(UNRESPONSIVE_AFTER) => Observation::NotAttributable,
             Self::Unknown {
                 reason: Unknown::Deadline,
                 ..
@@ -188,7 +191,7 @@
     }
 }
 
-fn is_disconnect(error: FramingError) -> bool {
+fn is_connection_loss(error: FramingError) -> bool {
     matches!(
         error,
         FramingError::ClosedBetweenMessages | FramingError::ClosedInHead | FramingError::Io(_)
@@ -199,18 +202,20 @@
     response.status == 503 && response.headers.text(SHED_HEADER) == Some("1")
 }
 
-/// The request as it goes to a target.
-fn outgoing(req: &CallerRequest, attempt: &AttemptId, now: Timestamp) -> Request {
+/// Request as it is sent to a target.
+fn outgoing_request(req: &CallerRequest, attempt: &AttemptId, now: Timestamp) -> Request {
     let mut message = req.message.clone();
     message.verdict = auburnbridge_http::Verdict::Reuse;
-    let left = req.deadline.since(now);
-    message.headers.set(DEADLINE_HEADER, left.0.to_string());
+    let remaining = req.deadline.since(now);
+    message
+        .headers
+        .set(DEADLINE_HEADER, remaining.0.to_string());
     message.headers.set(ATTEMPT_HEADER, attempt.to_string());
     message.headers.append("Via", "1.1 auburnbridge");
     message
 }
 
-/// The class as decisions about targets know it.
+/// Converts the class of a route to that of the policy crate.
 pub(crate) fn request_class(class: Class) -> RequestClass {
     match class {
         Class::Idempotent => RequestClass::Idempotent,
--- a/crates/auburnbridge_entry/src/dispatch.rs
+++ b/crates/auburnbridge_entry/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Targets tried one after the other until one of them may have run the request.
+//! Dispatch of a request to one target after another until one of them may have run it.
 
 use std::sync::Arc;
 
@@ -9,17 +9,17 @@
 use auburnbridge_types::{AttemptId, BodyDigest, ErrorKind};
 
 use crate::admission::{NotAdmitted, Permit};
-use crate::attempt::{Attempted, request_class, unless_disconnected};
+use crate::attempt::{AttemptResult, request_class, unless_disconnected};
 use crate::backoff::Backoff;
 use crate::entry::Entry;
 use crate::fleets::{Assignment, ServiceFleet};
 use crate::request::CallerRequest;
 
-/// What became of a request.
-pub(crate) enum Dispatched {
-    /// A target's whole answer.
+/// Result of dispatching a request.
+pub(crate) enum DispatchResult {
+    /// Complete answer of a target.
     Answered(Response),
-    /// No target ran the request since the last dispatch.
+    /// No target ran the request during this dispatch.
     NotRun(Problem),
     /// A target may have run the request.
     Unknown(Problem),
@@ -27,24 +27,24 @@
     Cancelled,
 }
 
-/// Dispatches one request; a target that was tried is tried again only after a wait.
+/// Dispatches one request; tries a target again only after a wait.
 pub(crate) struct Dispatcher<'a> {
     entry: &'a Entry,
     req: &'a CallerRequest,
     service: Arc<ServiceFleet>,
     digest: BodyDigest,
-    /// Whose disconnect cancels the request.
+    /// Cancels the request when the caller disconnects, if given.
     disconnect: Option<&'a Disconnect>,
-    /// Right to run, from the first dispatch on.
+    /// Admission of the request, held from the first dispatch on.
     permit: Option<Permit>,
     tried: Vec<TargetKey>,
     backoff: Backoff,
-    /// Why the last target tried gave no answer.
+    /// Reason why the last tried target gave no answer.
     failure: Option<Problem>,
 }
 
 impl<'a> Dispatcher<'a> {
-    /// Prepares the dispatch of a request, which fails if its service has no targets.
+    /// Creates the dispatcher of a request; fails if its service is unknown.
     pub(crate) fn new(
         entry: &'a Entry,
         req: &'a CallerRequest,
@@ -64,40 +64,40 @@
         })
     }
 
-    /// The targets of the request's service.
+    /// Fleet of the request's service.
     pub(crate) fn service(&self) -> &ServiceFleet {
         &self.service
     }
 
-    /// Tries targets until one may have run the request; `attempt` gives the id for each of them.
-    pub(crate) async fn dispatch(&mut self, attempt: impl Fn() -> AttemptId) -> Dispatched {
+    /// Tries targets until one may have run the request; `attempt` returns the id of each attempt.
+    pub(crate) async fn dispatch(&mut self, attempt: impl Fn() -> AttemptId) -> DispatchResult {
         if let Some(refusal) = self.refusal() {
-            return Dispatched::NotRun(refusal);
+            return DispatchResult::NotRun(refusal);
         }
         if let Err(refused) = self.wait_for_permit().await {
             return refused;
         }
         loop {
             if let Some(refusal) = self.refusal() {
-                return Dispatched::NotRun(refusal);
+                return DispatchResult::NotRun(refusal);
             }
             let class = request_class(self.req.route.class);
             let now = self.entry.ports.clock.now();
             let Some(assignment) = self.service.choose(now, class, &self.tried) else {
-                match self.wait().await {
+                match self.wait_to_retry().await {
                     Some(true) => continue,
-                    Some(false) => return Dispatched::NotRun(self.last_failure()),
-                    None => return Dispatched::Cancelled,
+                    Some(false) => return DispatchResult::NotRun(self.last_failure()),
+                    None => return DispatchResult::Cancelled,
                 }
             };
-            if let Some(dispatched) = self.try_target(&attempt(), assignment).await {
-                return dispatched;
+            if let Some(result) = self.try_target(&attempt(), assignment).await {
+                return result;
             }
         }
     }
 
-    /// Waits for the right to run, unless the request has it from an earlier dispatch.
-    async fn wait_for_permit(&mut self) -> Result<(), Dispatched> {
+    /// Waits for admission, unless the request was admitted in an earlier dispatch.
+    async fn wait_for_permit(&mut self) -> Result<(), DispatchResult> {
         if self.permit.is_some() {
             return Ok(());
         }
@@ -108,7 +108,7 @@
             None => Some(admission.await),
         };
         match admitted {
-            None => Err(Dispatched::Cancelled),
+            None => Err(DispatchResult::Cancelled),
             Some(Ok(permit)) => {
                 self.permit = Some(permit);
                 Ok(())
@@ -117,18 +117,21 @@
                 let seconds = u32::try_from(retry_after.0.div_ceil(1000)).unwrap_or(u32::MAX);
                 let detail = "the queue of the service is full or too slow for the deadline";
                 let problem = Problem::new(ErrorKind::Overloaded, detail);
-                Err(Dispatched::NotRun(problem.with_retry_after(seconds.max(1))))
+                Err(DispatchResult::NotRun(
+                    problem.with_retry_after(seconds.max(1)),
+                ))
             }
         }
     }
 
-    /// Why the request must not go to any target now.
+    /// Reason why the request must not be sent to any target now.
     fn refusal(&self) -> Option<Problem> {
         if self.entry.is_poisoned(&self.digest) {
             let detail = "it crashed two targets";
             return Some(Problem::new(ErrorKind::RequestPoisoned, detail));
         }
-        // After a wait or a freeze of this process, nobody may be waiting for the answer.
+        // After a wait or a pause of this process, the caller may have stopped waiting for the
+        // answer.
         if self.entry.ports.clock.now() < self.req.deadline {
             return None;
         }
@@ -138,12 +141,12 @@
         }))
     }
 
-    /// Waits until every target may be tried again; `false` if the request doesn't wait, `None` if
-    /// the caller disconnected.
-    async fn wait(&mut self) -> Option<bool> {
+    /// Waits until every target may be tried again. Returns `false` if the request must not wait,
+    /// and `None` if the caller disconnected.
+    async fn wait_to_retry(&mut self) -> Option<bool> {
         let failure = self.failure.as_ref();
         let is_shed = failure.is_some_and(|failure| failure.kind == ErrorKind::Overloaded);
-        // A request that holds a grant waits also for a target to appear.
+        // A request that holds a grant also waits until a target becomes available.
         if !is_shed && self.req.route.class == Class::Idempotent {
             return Some(false);
         }
@@ -156,33 +159,33 @@
         Some(has_waited)
     }
 
-    /// Tries one target; `None` if it did not run the request.
+    /// Tries one target; returns `None` if the target did not run the request.
     async fn try_target(
         &mut self,
         attempt: &AttemptId,
         assignment: Assignment,
-    ) -> Option<Dispatched> {
+    ) -> Option<DispatchResult> {
         self.tried.push(assignment.key());
         let target = assignment.target().clone();
         let incarnation = assignment.incarnation();
         let start = self.entry.ports.clock.now();
-        let attempted = self
+        let result = self
             .entry
             .attempt(self.req, attempt, assignment, self.disconnect)
             .await;
-        if let (Attempted::Answered(_), Some(permit)) = (&attempted, &self.permit) {
+        if let (AttemptResult::Answered(_), Some(permit)) = (&result, &self.permit) {
             permit.record_answer(self.entry.ports.clock.now().since(start));
         }
-        let failure = match attempted {
-            Attempted::Answered(response) => return Some(Dispatched::Answered(response)),
-            Attempted::Cancelled => return Some(Dispatched::Cancelled),
-            Attempted::Shed => {
+        let failure = match result {
+            AttemptResult::Answered(response) => return Some(DispatchResult::Answered(response)),
+            AttemptResult::Cancelled => return Some(DispatchResult::Cancelled),
+            AttemptResult::Shed => {
                 Problem::new(ErrorKind::Overloaded, "every target tried shed the request")
             }
-            Attempted::NotSent(reason) => {
+            AttemptResult::NotSent(reason) => {
                 Problem::new(reason.kind(), format!("{target}: {reason:?}"))
             }
-            Attempted::Unknown { reason, crashed } => {
+            AttemptResult::Unknown { reason, crashed } => {
                 let failure = Problem::new(reason.kind(), format!("{target}: {reason:?}"));
                 self.failure = Some(failure.clone());
                 if crashed {
@@ -193,7 +196,7 @@
                     };
                     self.entry.report_crash(report).await;
                 }
-                return Some(Dispatched::Unknown(failure));
+                return Some(DispatchResult::Unknown(failure));
             }
         };
         self.failure = Some(failure);
--- a/crates/auburnbridge_entry/src/entry.rs
+++ b/crates/auburnbridge_entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! State shared by all requests of an entry, and the path of one request.
+//! State shared by all requests of an entry, and the handling of one request.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -23,94 +23,95 @@
 use rand::{Rng, SeedableRng};
 
 use crate::fleets::Fleets;
-use crate::ledger_client::{LedgerClient, MeasuredLedger};
+use crate::ledger_client::{InstrumentedLedger, LedgerClient};
 use crate::request::CallerRequest;
-use crate::target_port::TargetPort;
+use crate::target_client::TargetClient;
 use crate::{idempotent, keyed};
 
 /// Rules that are in force on this entry.
 #[derive(Debug)]
 pub struct RulesInForce {
-    /// Their revision.
+    /// Revision of the rules.
     pub revision: Revision,
-    /// The rules.
+    /// Parsed rules.
     pub rules: Arc<Rules>,
 }
 
-/// Tells the other entries of a crashed target before the request goes on.
+/// Reports the crash of a target to the other entries before its request is retried or answered.
 pub trait CrashReporter: Send + Sync {
-    /// Sends the report and waits for acknowledgements, at most 100 ms.
+    /// Sends the report and waits up to 100 ms for acknowledgements.
     fn report(&self, report: CrashReport) -> BoxFuture<'_, ()>;
 }
 
-/// Runs work that outlives the request which started it.
-pub trait Tasks: Send + Sync {
-    /// Starts `task` and returns at once.
+/// Spawns tasks that outlive the request that started them.
+pub trait TaskSpawner: Send + Sync {
+    /// Spawns `task` without waiting for it.
     fn spawn(&self, task: BoxFuture<'static, ()>);
 }
 
-/// Runs tasks on the runtime of `async-std`.
+/// Spawns tasks on the `async-std` runtime.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RuntimeTasks;
+pub struct RuntimeTaskSpawner;
 
-impl Tasks for RuntimeTasks {
+impl TaskSpawner for RuntimeTaskSpawner {
     fn spawn(&self, task: BoxFuture<'static, ()>) {
         async_std::task::spawn(task);
     }
 }
 
-/// Connections of an [`Entry`] to the rest of the system.
+/// External dependencies of an [`Entry`]; tests replace them with fakes.
 pub struct Ports {
-    /// Source of time.
+    /// Clock for deadlines, waits and measurements.
     pub clock: Arc<dyn Clock>,
-    /// The ledger on the keepers.
+    /// Client of the ledger that the keepers replicate.
     pub ledger: Arc<dyn LedgerClient>,
-    /// The targets.
-    pub targets: Arc<dyn TargetPort>,
-    /// The other entries.
+    /// Client for exchanges with targets.
+    pub targets: Arc<dyn TargetClient>,
+    /// Reporter of crashes to the other entries.
     pub crashes: Arc<dyn CrashReporter>,
-    /// Work that outlives its request.
-    pub tasks: Arc<dyn Tasks>,
-    /// Counters and timers.
+    /// Spawner of tasks that outlive their request.
+    pub tasks: Arc<dyn TaskSpawner>,
+    /// Counters and timers of the entry.
     pub metrics: Arc<Metrics>,
-    /// Seed of the entry's random choices, which tests repeat.
+    /// Seed of the entry's random number generators; fixed in tests for reproducibility.
     pub seed: u64,
 }
 
-/// Where an entry runs.
+/// Place where an entry runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// Its VM.
+    /// VM of the entry.
     pub vm: VmId,
-    /// Its data centre.
+    /// Data centre of the entry.
     pub data_centre: DataCentre,
 }
 
-/// An entry's state.
+/// State of an entry, shared by all its requests.
 ///
-/// Lock order: `rules_change`, then the fleets' locks. `accounts`, `poison` and `random` are
-/// never held with another lock.
+/// Lock order: `rules_update`, then the locks of the fleets. No other lock is held together with
+/// `accounts`, `poison` or `rng`.
 pub struct Entry {
     pub(crate) ports: Ports,
     pub(crate) fleets: Fleets,
-    pub(crate) ledger: MeasuredLedger,
+    pub(crate) ledger: InstrumentedLedger,
     settlements: TaskTracker,
     rules: ArcSwapOption<RulesInForce>,
-    /// Held while rules are put in force, so that the fleets and `rules` change in the same order.
-    rules_change: Mutex<()>,
+    /// Held while rules are put in force, so that the fleets and `rules` are updated in the same
+    /// order.
+    rules_update: Mutex<()>,
     accounts: Mutex<AccountLimiter>,
     poison: Mutex<PoisonTable>,
     pub(crate) answer_limits: Limits,
     vm: VmId,
     boot: u64,
     attempts: AtomicU64,
-    random: Mutex<StdRng>,
+    rng: Mutex<StdRng>,
 }
 
 impl Entry {
-    /// Creates an entry without rules.
+    /// Creates an entry without rules; it rejects all requests until rules are in force.
     pub fn new(location: Location, answer_limits: Limits, ports: Ports) -> Self {
-        let mut random = StdRng::seed_from_u64(ports.seed);
+        let mut rng = StdRng::seed_from_u64(ports.seed);
         Self {
             fleets: Fleets::new(
                 location.data_centre,
@@ -118,7 +119,7 @@
                 Arc::clone(&ports.metrics),
                 ports.seed,
             ),
-            ledger: MeasuredLedger {
+            ledger: InstrumentedLedger {
                 client: Arc::clone(&ports.ledger),
                 clock: Arc::clone(&ports.clock),
                 metrics: Arc::clone(&ports.metrics),
@@ -126,53 +127,54 @@
             settlements: TaskTracker::default(),
             ports,
             rules: ArcSwapOption::empty(),
-            rules_change: Mutex::default(),
+            rules_update: Mutex::default(),
             accounts: Mutex::default(),
             poison: Mutex::default(),
             answer_limits,
             vm: location.vm,
-            boot: random.random(),
+            boot: rng.random(),
             attempts: AtomicU64::new(0),
-            random: Mutex::new(random),
+            rng: Mutex::new(rng),
         }
     }
 
-    /// The targets of all services.
+    /// Fleets of all services.
     pub fn fleets(&self) -> &Fleets {
         &self.fleets
     }
 
-    /// The rules in force.
+    /// Rules in force, or `None` before the first ones have arrived.
     pub fn rules(&self) -> Option<Arc<RulesInForce>> {
         self.rules.load_full()
     }
 
-    /// The revision in force; zero without rules.
+    /// Revision in force, or 0 without rules.
     pub fn revision(&self) -> Revision {
         self.rules().map_or(Revision(0), |rules| rules.revision)
     }
 
-    /// Puts rules in force unless the ones in force are as new; a revision never reverts.
+    /// Puts rules in force and returns `true`, unless the revision in force is the same or higher.
+    /// The revision never decreases.
     pub fn put_in_force(&self, now: Timestamp, new: RulesInForce) -> bool {
-        let _changing = self.rules_change.lock();
+        let _guard = self.rules_update.lock();
         let revision = new.revision;
         if self.rules().is_some_and(|rules| rules.revision >= revision) {
             return false;
         }
-        // The fleets come first, so that no request meets a route without its service.
+        // The fleets are updated first, so that every service exists before a route refers to it.
         self.fleets.apply_rules(now, &new.rules);
         self.rules.store(Some(Arc::new(new)));
         info!("rules revision={revision} in_force=true");
         true
     }
 
-    /// Takes over what another entry saw of suspected targets.
+    /// Merges another entry's evidence about suspected targets.
     pub fn merge_evidence(&self, from: &VmId, evidence: &[ServiceEvidence]) {
         let now = self.ports.clock.now();
         self.fleets.merge_evidence(now, from, evidence);
     }
 
-    /// Takes over a crash report of another entry.
+    /// Records a crash that another entry reported.
     pub fn record_crash(&self, report: CrashReport) {
         let now = self.ports.clock.now();
         self.poison.lock().record(now, report);
@@ -184,7 +186,7 @@
     }
 
     pub(crate) fn random_in(&self, range: RangeInclusive<u64>) -> u64 {
-        self.random.lock().random_range(range)
+        self.rng.lock().random_range(range)
     }
 
     pub(crate) fn next_attempt(&self) -> AttemptId {
@@ -213,24 +215,24 @@
             }
         };
         if let Err(problem) = self.admit(&req, &rules.rules) {
-            return self.refuse(&req, &req.refuse_unread(problem));
+            return self.refuse(&req, &req.reject_without_grant(problem));
         }
-        let served = match req.route.class {
+        let result = match req.route.class {
             Class::Idempotent => idempotent::serve(self, &req, &disconnect).await,
             Class::Once => keyed::serve(self, &req).await,
         };
-        self.conclude(&req, served)
+        self.finish_request(&req, result)
     }
 
-    /// The response to the caller, counted.
-    fn conclude(&self, req: &CallerRequest, served: Result<Response, Problem>) -> Response {
+    /// Records the metrics of a request and returns the response to the caller.
+    fn finish_request(&self, req: &CallerRequest, result: Result<Response, Problem>) -> Response {
         let tags = [
             ("service", req.route.service.as_str()),
             ("class", req.route.class.into()),
         ];
         let time = self.ports.clock.now().since(req.arrived);
         self.ports.metrics.time(Timer::RequestTime, time, &tags);
-        match served {
+        match result {
             Ok(response) => {
                 self.ports.metrics.count(Counter::RequestAnswered, &tags);
                 response
@@ -253,7 +255,7 @@
         })
     }
 
-    /// Logs and counts a rejection and gives its response.
+    /// Logs and counts a rejection and returns its response.
     fn refuse(&self, req: &CallerRequest, problem: &Problem) -> Response {
         let waited = self.ports.clock.now().since(req.arrived);
         info!(
@@ -275,10 +277,11 @@
         problem.to_response()
     }
 
-    /// Tells the ledger how an attempt ended while the caller already gets its answer.
+    /// Sends the command that ends an attempt to the ledger in the background, so that the caller
+    /// gets its answer at once.
     ///
-    /// A resend waits until the answer is stored. If this process dies first, the resend hears
-    /// `unknown`, and the request doesn't run again.
+    /// A resend waits until the answer is stored. If this process exits before that, the resend is
+    /// answered with the outcome `unknown`, and the request does not run again.
     pub(crate) fn settle_later(&self, command: Command) {
         let ledger = self.ledger.clone();
         let guard = self.settlements.begin();
@@ -288,15 +291,16 @@
         }));
     }
 
-    /// Waits until the ledger knows how all requests ended, at most for `limit`.
-    pub async fn wait_settled(&self, limit: Millis) -> usize {
+    /// Waits up to `limit` for the pending commands to the ledger; returns the number of those that
+    /// remain.
+    pub async fn wait_for_settlements(&self, limit: Millis) -> usize {
         self.settlements.close();
         self.settlements
             .wait(self.ports.clock.as_ref(), limit)
             .await
     }
 
-    /// Records the crash of a target and tells the other entries.
+    /// Records the crash of a target and reports it to the other entries.
     pub(crate) async fn report_crash(&self, report: CrashReport) {
         info!(
             "crash target={} incarnation={} request={}",
--- a/crates/auburnbridge_entry/src/fleets.rs
+++ b/crates/auburnbridge_entry/src/fleets.rs
@@ -1,7 +1,7 @@
-//! The targets of all services, shared by the requests in flight.
+//! Fleets of the targets of all services, shared by all requests in flight.
 //!
-//! Lock order: the table of services, then one fleet, then its admission queue. None is held over
-//! an await.
+//! Lock order: the map of services, then one fleet, then its admission queue. No lock is held
+//! across an await point.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 
 use crate::admission::{Admission, NotAdmitted, Permit};
 
-/// Targets and retry budget of one service.
+/// Targets, retry budget and admission queue of one service.
 pub struct ServiceFleet {
     name: ServiceName,
     state: Mutex<ServiceState>,
@@ -34,10 +34,11 @@
 struct ServiceState {
     fleet: Fleet,
     retries: RetryBudget,
-    random: StdRng,
+    rng: StdRng,
 }
 
-/// A target chosen for one request; dropping it without a result counts as no evidence.
+/// Assignment of a request to a target. Dropping it without a result adds no evidence about the
+/// target.
 pub struct Assignment {
     service: Arc<ServiceFleet>,
     choice: Choice,
@@ -45,35 +46,35 @@
 }
 
 impl Assignment {
-    /// Handle of the target.
+    /// Key of the target in its fleet.
     pub fn key(&self) -> TargetKey {
         self.choice.key
     }
 
-    /// The target's name.
+    /// Id of the target.
     pub fn target(&self) -> &TargetId {
         &self.choice.target
     }
 
-    /// Where the target accepts requests.
+    /// Address on which the target accepts requests.
     pub fn address(&self) -> SocketAddr {
         self.choice.address
     }
 
-    /// Number of the target's life.
+    /// Incarnation of the target.
     pub fn incarnation(&self) -> Incarnation {
         self.choice.incarnation
     }
 
-    /// Figures that decided the choice, for the log.
-    pub fn figures(&self) -> String {
+    /// Log fields with the values that led to the choice.
+    pub fn log_fields(&self) -> String {
         format!(
             "load={:.2} suspicion={:.2} candidates={}",
             self.choice.load, self.choice.suspicion, self.choice.candidates
         )
     }
 
-    /// Ends the request on the target.
+    /// Ends the request on the target and records the observation.
     pub fn finish(mut self, now: Timestamp, observation: Observation) {
         self.is_finished = true;
         self.service.finish(now, self.choice.key, observation);
@@ -84,7 +85,7 @@
     fn drop(&mut self) {
         if !self.is_finished {
             let observation = Observation::NotAttributable;
-            // The time matters only for observations that are evidence.
+            // The time is used only for observations that are evidence.
             self.service
                 .finish(Timestamp(0), self.choice.key, observation);
         }
@@ -92,7 +93,7 @@
 }
 
 impl ServiceFleet {
-    /// Chooses a target for one request.
+    /// Chooses a target for one request, other than those in `exclude`.
     pub fn choose(
         self: &Arc<Self>,
         now: Timestamp,
@@ -101,7 +102,7 @@
     ) -> Option<Assignment> {
         let choice = {
             let state = &mut *self.state.lock();
-            state.fleet.choose(now, class, exclude, &mut state.random)?
+            state.fleet.choose(now, class, exclude, &mut state.rng)?
         };
         Some(Assignment {
             service: Arc::clone(self),
@@ -115,12 +116,12 @@
         self.state.lock().retries.record_request(now);
     }
 
-    /// Takes one retry from the budget if it has one.
+    /// Takes one retry from the budget; returns `false` if none is available.
     pub fn try_retry(&self, now: Timestamp) -> bool {
         self.state.lock().retries.try_retry(now)
     }
 
-    /// Waits until a request may run.
+    /// Waits until the admission queue lets a request run.
     pub(crate) async fn admit(
         &self,
         class: RequestClass,
@@ -134,11 +135,11 @@
             self.admission.record_shed();
         }
         let decisions = self.state.lock().fleet.finish(now, key, observation);
-        self.report(&decisions);
+        self.record_decisions(&decisions);
     }
 
-    /// Logs and counts decisions.
-    fn report(&self, decisions: &[Decision]) {
+    /// Logs placement decisions and counts them in the metrics.
+    fn record_decisions(&self, decisions: &[Decision]) {
         for decision in decisions {
             if decision.action == Action::Keep {
                 debug!("placement service={} {decision}", self.name);
@@ -155,7 +156,7 @@
     }
 }
 
-/// The targets of all services.
+/// Fleets of all services.
 pub struct Fleets {
     services: RwLock<HashMap<ServiceName, Arc<ServiceFleet>>>,
     data_centre: DataCentre,
@@ -165,8 +166,8 @@
 }
 
 impl Fleets {
-    /// Creates the table of an entry in `data_centre` without services; `seed` is that of the
-    /// choices of targets.
+    /// Creates the fleets of an entry in `data_centre`, without services. `seed` is the seed of the
+    /// random choices of targets.
     pub fn new(
         data_centre: DataCentre,
         clock: Arc<dyn Clock>,
@@ -182,12 +183,12 @@
         }
     }
 
-    /// The fleet of a service.
+    /// Fleet of a service, or `None` if the rules have no such service.
     pub fn get(&self, service: &ServiceName) -> Option<Arc<ServiceFleet>> {
         self.services.read().get(service).cloned()
     }
 
-    /// Takes over the services of new rules.
+    /// Adds, updates and removes services according to new rules.
     pub fn apply_rules(&self, now: Timestamp, rules: &Rules) {
         let mut services = self.services.write();
         services.retain(|name, _| rules.service(name).is_some());
@@ -200,7 +201,7 @@
                 state.retries = retries;
                 drop(state);
                 fleet.admission.set_policy(admission_policy_of(service));
-                fleet.report(&decisions);
+                fleet.record_decisions(&decisions);
             } else {
                 let fleet = ServiceFleet {
                     name: service.name.clone(),
@@ -212,7 +213,7 @@
                     state: Mutex::new(ServiceState {
                         fleet: Fleet::new(policy).with_data_centre(self.data_centre.clone()),
                         retries,
-                        random: StdRng::seed_from_u64(self.seed),
+                        rng: StdRng::seed_from_u64(self.seed),
                     }),
                 };
                 services.insert(service.name.clone(), Arc::new(fleet));
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Takes over the members of one service and makes the decisions that are due.
+    /// Updates the members of one service and makes the placement decisions that are due.
     pub fn update(&self, now: Timestamp, service: &ServiceName, members: &[Member]) {
         let Some(fleet) = self.get(service) else {
             return;
@@ -231,10 +232,10 @@
         let slots = state.fleet.in_use();
         drop(state);
         fleet.admission.set_slots(slots);
-        fleet.report(&decisions);
+        fleet.record_decisions(&decisions);
     }
 
-    /// What this entry saw of suspected targets, for the other entries.
+    /// Evidence of this entry about suspected targets, to be sent to the other entries.
     pub fn evidence(&self, now: Timestamp) -> Vec<ServiceEvidence> {
         let services: Vec<Arc<ServiceFleet>> = self.services.read().values().cloned().collect();
         services
@@ -247,14 +248,14 @@
             .collect()
     }
 
-    /// Takes over what another entry saw.
+    /// Merges another entry's evidence.
     pub fn merge_evidence(&self, now: Timestamp, from: &VmId, evidence: &[ServiceEvidence]) {
         for ServiceEvidence { service, reports } in evidence {
             let Some(fleet) = self.get(service) else {
                 continue;
             };
             let decisions = fleet.state.lock().fleet.merge_evidence(now, from, reports);
-            fleet.report(&decisions);
+            fleet.record_decisions(&decisions);
         }
     }
 
@@ -263,7 +264,7 @@
         self.services.read().keys().cloned().collect()
     }
 
-    /// The targets of a service, for status reports.
+    /// Targets of a service, for status reports.
     pub fn view(&self, service: &ServiceName) -> Vec<TargetView> {
         self.get(service)
             .map(|fleet| fleet.state.lock().fleet.view())
--- a/crates/auburnbridge_entry/src/keeper_client.rs
+++ b/crates/auburnbridge_entry/src/keeper_client.rs
@@ -1,8 +1,8 @@
 //! Client of the keeper group.
 //!
-//! Commands go to the leader that answered last. While a group elects a leader it has none for up to
-//! about a second, so a command waits that long; after that the group counts as without a quorum,
-//! and commands fail at once until one succeeds again.
+//! Commands are sent to the keeper that last answered as leader. An election leaves the group
+//! without a leader for up to about a second, so a command waits that long. After that the group is
+//! considered to have no quorum, and commands fail at once until one succeeds again.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -16,27 +16,28 @@
 
 use crate::ledger_client::{LedgerClient, LedgerUnavailable};
 
-/// Time for one call to one keeper; covers a sync and a round between data centres.
+/// Timeout of one call to one keeper; covers a disk sync and a round trip between data centres.
 const CALL_TIMEOUT: Millis = Millis(1_000);
-/// Time for one call while the group counts as without a quorum, so that requests are refused at
-/// once.
+/// Timeout of one call while the group is considered to have no quorum, so that requests are
+/// rejected quickly.
 const PROBE_TIMEOUT: Millis = Millis(150);
-/// Time for an election: two election timeouts of at most 600 ms.
-const ELECTION_WAIT: Millis = Millis(1_500);
-const RETRY_WAIT: Millis = Millis(25);
+/// Time allowed for an election: two election timeouts of at most 600 ms each, with a margin.
+const MAX_ELECTION_WAIT: Millis = Millis(1_500);
+const RETRY_INTERVAL: Millis = Millis(25);
 
-/// Calls the keepers.
+/// Sends commands and fetches rules from the keepers of a group.
 pub struct KeeperClient {
     keepers: Vec<PeerAddress>,
     data_centre: DataCentre,
     transport: Arc<dyn Transport>,
     clock: Arc<dyn Clock>,
+    /// Index of the presumed leader in `keepers`, modulo their number.
     leader: AtomicUsize,
     has_quorum: AtomicBool,
 }
 
 impl KeeperClient {
-    /// Creates a client in `data_centre` of the group of `keepers`.
+    /// Creates a client of the group of `keepers`; `data_centre` is that of the client.
     pub fn new(
         keepers: Vec<PeerAddress>,
         data_centre: DataCentre,
@@ -53,12 +54,12 @@
         }
     }
 
-    /// The keepers.
+    /// Addresses of the keepers.
     pub fn keepers(&self) -> &[PeerAddress] {
         &self.keepers
     }
 
-    /// Fetches the rules after `have` from one keeper.
+    /// Fetches the changes to the rules since revision `have` from one keeper.
     pub async fn fetch_rules(&self, keeper: &PeerAddress, have: Revision) -> Option<Delta> {
         let request = Request::FetchRules {
             have,
@@ -81,15 +82,15 @@
     pub async fn submit(&self, edit: Edit) -> Result<EditReply, LedgerUnavailable> {
         match self.command(&Request::Edit(edit)).await? {
             Reply::Edit(reply) => Ok(reply),
-            reply => Err(unexpected(&reply)),
+            reply => Err(unexpected_reply(&reply)),
         }
     }
 
-    /// Sends a command until a leader has taken it.
+    /// Sends a command until a leader has accepted it.
     ///
-    /// A command whose reply was lost is sent again; commands are idempotent by their ids.
+    /// A command whose reply was lost is sent again; its id makes it idempotent.
     async fn command(&self, request: &Request) -> Result<Reply, LedgerUnavailable> {
-        let give_up = self.clock.now().after(ELECTION_WAIT);
+        let give_up_at = self.clock.now().after(MAX_ELECTION_WAIT);
         let may_wait = self.has_quorum.load(Ordering::Relaxed);
         let timeout = if may_wait {
             CALL_TIMEOUT
@@ -99,13 +100,13 @@
         let mut last_reason = "no keeper is configured".to_owned();
         loop {
             for _ in 0..self.keepers.len() {
-                let at = self.leader.load(Ordering::Relaxed) % self.keepers.len();
-                match self.call(&self.keepers[at], request, timeout).await {
+                let index = self.leader.load(Ordering::Relaxed) % self.keepers.len();
+                match self.call(&self.keepers[index], request, timeout).await {
                     Ok(Reply::NotLeader { leader }) => {
                         let next = leader
                             .and_then(|vm| self.keepers.iter().position(|keeper| keeper.vm == vm))
-                            .filter(|next| *next != at)
-                            .unwrap_or(at + 1);
+                            .filter(|next| *next != index)
+                            .unwrap_or(index + 1);
                         self.leader.store(next, Ordering::Relaxed);
                         "the keepers have no leader".clone_into(&mut last_reason);
                     }
@@ -119,11 +120,11 @@
                     }
                     Err(reason) => {
                         last_reason = reason;
-                        self.leader.store(at + 1, Ordering::Relaxed);
+                        self.leader.store(index + 1, Ordering::Relaxed);
                     }
                 }
             }
-            if !may_wait || self.clock.now() >= give_up {
+            if !may_wait || self.clock.now() >= give_up_at {
                 if self.has_quorum.swap(false, Ordering::Relaxed) {
                     warn!("keepers unavailable: {last_reason}");
                 }
@@ -131,7 +132,7 @@
                     reason: last_reason,
                 });
             }
-            self.clock.sleep(RETRY_WAIT).await;
+            self.clock.sleep(RETRY_INTERVAL).await;
         }
     }
 
@@ -152,13 +153,13 @@
         Box::pin(async move {
             match self.command(&Request::Ledger(command)).await? {
                 Reply::Ledger(reply) => Ok(reply),
-                reply => Err(unexpected(&reply)),
+                reply => Err(unexpected_reply(&reply)),
             }
         })
     }
 }
 
-fn unexpected(reply: &Reply) -> LedgerUnavailable {
+fn unexpected_reply(reply: &Reply) -> LedgerUnavailable {
     let name: &'static str = reply.into();
     LedgerUnavailable {
         reason: format!("the keeper answered {name}"),
--- a/crates/auburnbridge_entry/src/keyed.rs
+++ b/crates/auburnbridge_entry/src/keyed.rs
@@ -1,4 +1,5 @@
-//! Non-idempotent requests: one dispatch for each key, granted by the ledger before the first byte.
+//! Non-idempotent requests: at most one dispatch per idempotency key, which the ledger grants
+//! before the first byte is sent to a target.
 
 use async_std::io::Cursor;
 use auburnbridge_caller::Problem;
@@ -8,20 +9,22 @@
 use log::info;
 
 use crate::backoff::Backoff;
-use crate::dispatch::{Dispatched, Dispatcher};
+use crate::dispatch::{DispatchResult, Dispatcher};
 use crate::entry::Entry;
 use crate::request::CallerRequest;
 
-/// Header of an answer that was stored by an earlier attempt.
+/// Header of an answer that an earlier attempt stored.
 pub(crate) const REPLAYED_HEADER: &str = "Auburnbridge-Replayed";
 
-/// Time after the caller's deadline for which a grant still counts as in progress.
+/// Time after the caller's deadline for which the ledger still treats a grant as in progress.
 ///
-/// A withdrawal that reaches the ledger later frees nothing, and requests that are shed until their
-/// deadline withdraw just then. It also covers a difference between this clock and log time.
+/// A withdrawal that arrives later does not release the key, and a request that is shed until its
+/// deadline withdraws at that moment. The grace also covers a difference between this clock and log
+/// time.
 const SETTLE_GRACE: Millis = Millis(2_000);
 
-/// Serves a keyed request. It goes on when its caller disconnects, so that a resend gets the answer.
+/// Serves a keyed request. It continues when its caller disconnects, so that a resend gets the
+/// answer.
 pub(crate) async fn serve(entry: &Entry, req: &CallerRequest) -> Result<Response, Problem> {
     match acquire(entry, req).await {
         Ok(Grant::Held { key, attempt }) => run_granted(entry, req, key, attempt).await,
@@ -30,17 +33,18 @@
     }
 }
 
+/// Permission of the ledger to dispatch, or the answer that makes it unnecessary.
 enum Grant {
     /// This attempt may dispatch once.
     Held { key: LedgerKey, attempt: AttemptId },
-    /// An earlier attempt ran, with this answer.
+    /// An earlier attempt ran and stored this answer.
     Replay(StoredAnswer),
 }
 
-/// Asks the ledger for the permission to dispatch; waits while another attempt is in progress.
+/// Requests a grant from the ledger; waits while another attempt is in progress.
 async fn acquire(entry: &Entry, req: &CallerRequest) -> Result<Grant, Problem> {
     let key = LedgerKey {
-        idempotency_key: req.key.expect("routes of the class `once` need a key"),
+        idempotency_key: req.key.expect("routes of class `once` require a key"),
         account: req.account.clone(),
     };
     let body_digest = req.digest();
@@ -57,10 +61,10 @@
         let reply = match entry.ledger.apply(command).await {
             Ok(reply) => reply,
             Err(error) => {
-                // The grant may have taken effect, and would block resends up to its deadline.
+                // The grant may have taken effect and would then block resends until its deadline.
                 entry.settle_later(Command::Withdraw { key, attempt });
                 let problem = Problem::new(ErrorKind::LedgerUnavailable, error.to_string());
-                return Err(req.refuse_unread(problem));
+                return Err(req.reject_without_grant(problem));
             }
         };
         info!(
@@ -81,48 +85,48 @@
         };
         let problem = Problem::new(kind, format!("the ledger answered {reply}"));
         return Err(match kind {
-            // This body never ran: the key belongs to another request.
+            // This request never ran: its key was used for a request with another digest.
             ErrorKind::KeyReused => problem,
-            _ => req.refuse_unread(problem),
+            _ => req.reject_without_grant(problem),
         });
     }
 }
 
-/// Runs a granted request at most once.
+/// Dispatches a granted request at most once.
 async fn run_granted(
     entry: &Entry,
     req: &CallerRequest,
     key: LedgerKey,
     attempt: AttemptId,
 ) -> Result<Response, Problem> {
-    let dispatched = match Dispatcher::new(entry, req, None) {
+    let result = match Dispatcher::new(entry, req, None) {
         Ok(mut dispatcher) => dispatcher.dispatch(|| attempt.clone()).await,
-        Err(problem) => Dispatched::NotRun(problem),
+        Err(problem) => DispatchResult::NotRun(problem),
     };
-    match dispatched {
-        Dispatched::Answered(response) => {
-            entry.settle_later(conclusion(req, key, attempt, &response));
+    match result {
+        DispatchResult::Answered(response) => {
+            entry.settle_later(conclude_command(req, key, attempt, &response));
             Ok(response)
         }
-        Dispatched::NotRun(problem) => {
-            // No byte of this attempt was written and none will be, so `not-run` holds whether or
-            // not the ledger hears of it; without it, a resend reads `unknown`.
+        DispatchResult::NotRun(problem) => {
+            // No byte of this attempt was written and none will be, so `not-run` holds even if the
+            // withdrawal does not reach the ledger; a resend then gets the outcome `unknown`.
             entry
                 .ledger
                 .settle(Command::Withdraw { key, attempt })
                 .await;
-            Err(req.refuse_withdrawn(problem))
+            Err(req.reject_after_withdrawal(problem))
         }
-        Dispatched::Unknown(problem) => {
+        DispatchResult::Unknown(problem) => {
             entry.settle_later(Command::Abandon { key, attempt });
             Err(problem)
         }
-        Dispatched::Cancelled => unreachable!("a keyed request goes on without its caller"),
+        DispatchResult::Cancelled => unreachable!("a keyed request is never cancelled"),
     }
 }
 
-/// The command that stores an answer for resends.
-fn conclusion(
+/// Command that stores an answer for resends.
+fn conclude_command(
     req: &CallerRequest,
     key: LedgerKey,
     attempt: AttemptId,
@@ -138,14 +142,14 @@
     }
 }
 
-/// The stored answer of an earlier attempt.
+/// Decodes the stored answer of an earlier attempt.
 async fn replay(answer: &StoredAnswer, info: RequestInfo) -> Result<Response, Problem> {
     let StoredAnswer::Whole(bytes) = answer else {
         let detail = "the answer was too large to store";
         return Err(Problem::new(ErrorKind::AnswerNotKept, detail));
     };
     let mut connection = Connection::new(Cursor::new(bytes.as_ref()));
-    // The encoder adds a length to the head that the target's answer had.
+    // The encoder adds a length header, so the head can be larger than that of the target's answer.
     let limits = Limits::default()
         .with_headers(128)
         .with_head_bytes(ByteSize(2 * MAX_ANSWER.0))
--- a/crates/auburnbridge_entry/src/ledger_client.rs
+++ b/crates/auburnbridge_entry/src/ledger_client.rs
@@ -1,4 +1,4 @@
-//! Border towards the ledger on the keepers.
+//! Interface to the ledger that the keepers replicate.
 
 use std::sync::Arc;
 
@@ -7,10 +7,10 @@
 use auburnbridge_types::{BoxFuture, Clock, Millis};
 use log::warn;
 
-/// Reason why a command has no reply; whether the ledger applied it is unknown.
+/// Error of a command without a reply; the ledger may or may not have applied it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerUnavailable {
-    /// What the keepers answered or why they can't be reached.
+    /// Answer of the keepers, or the reason why they are unreachable.
     pub reason: String,
 }
 
@@ -24,24 +24,24 @@
 
 /// Applies commands to the replicated ledger.
 pub trait LedgerClient: Send + Sync {
-    /// Applies one command once a quorum has synced it.
+    /// Applies one command; completes after a quorum of keepers has synced it to disk.
     fn apply(&self, command: Command) -> BoxFuture<'_, Result<Reply, LedgerUnavailable>>;
 }
 
-/// Attempts to tell the ledger how a request ended.
+/// Maximum number of attempts to send the command that ends a request.
 const SETTLE_ATTEMPTS: u32 = 3;
-const SETTLE_WAIT: Millis = Millis(1_000);
+const SETTLE_RETRY_INTERVAL: Millis = Millis(1_000);
 
-/// A ledger client whose commands are timed and counted.
+/// Ledger client that records the duration and the reply of each command in the metrics.
 #[derive(Clone)]
-pub(crate) struct MeasuredLedger {
+pub(crate) struct InstrumentedLedger {
     pub(crate) client: Arc<dyn LedgerClient>,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) metrics: Arc<Metrics>,
 }
 
-impl MeasuredLedger {
-    /// Applies one command.
+impl InstrumentedLedger {
+    /// Applies one command and records its metrics.
     pub(crate) async fn apply(&self, command: Command) -> Result<Reply, LedgerUnavailable> {
         let name: &'static str = (&command).into();
         let start = self.clock.now();
@@ -54,13 +54,13 @@
         reply
     }
 
-    /// Tells the ledger how an attempt ended. If the keepers stay away, the key stays in progress
-    /// and reads `unknown` after its deadline, which is safe.
+    /// Sends the command that ends an attempt, with retries. If the keepers remain unavailable, the
+    /// key stays in progress and its outcome becomes `unknown` after its deadline, which is safe.
     pub(crate) async fn settle(&self, command: Command) {
         let name = command.to_string();
         for attempt in 1..=SETTLE_ATTEMPTS {
             if attempt > 1 {
-                self.clock.sleep(SETTLE_WAIT).await;
+                self.clock.sleep(SETTLE_RETRY_INTERVAL).await;
             }
             match self.apply(command.clone()).await {
                 Ok(Reply::Done) => return,
--- a/crates/auburnbridge_entry/src/lib.rs
+++ b/crates/auburnbridge_entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry role: assembles the request path.
+//! Entry role: accepts requests of callers and dispatches them to targets.
 
 mod admission;
 mod attempt;
@@ -15,11 +15,13 @@
 mod rules_feed;
 mod run;
 mod server;
-mod target_port;
+mod target_client;
 mod targets_api;
 
 pub use attempt::{ATTEMPT_HEADER, SHED_HEADER};
-pub use entry::{CrashReporter, Entry, Location, Ports, RulesInForce, RuntimeTasks, Tasks};
+pub use entry::{
+    CrashReporter, Entry, Location, Ports, RulesInForce, RuntimeTaskSpawner, TaskSpawner,
+};
 pub use fleets::{Assignment, Fleets, ServiceFleet};
 pub use keeper_client::KeeperClient;
 pub use ledger_client::{LedgerClient, LedgerUnavailable};
@@ -27,4 +29,4 @@
     ACCOUNT_HEADER, CallerRequest, DEADLINE_HEADER, KEY_HEADER, PREVIOUS_ATTEMPTS_HEADER,
 };
 pub use run::{EntryError, EntryOptions, RunningEntry};
-pub use target_port::TargetPort;
+pub use target_client::TargetClient;
--- a/crates/auburnbridge_entry/src/neighbours.rs
+++ b/crates/auburnbridge_entry/src/neighbours.rs
@@ -1,6 +1,7 @@
-//! Knowledge that entries share: targets, each other, crash reports and the rules.
+//! State that entries replicate among each other: targets, entries, crash reports and rules.
 //!
-//! Lock order: `targets`, then `entries`, then a rumour queue. None is held over an await.
+//! Lock order: `targets`, then `entries`, then a rumour queue. No lock is held across an await
+//! point.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,18 +21,20 @@
 
 use crate::entry::CrashReporter;
 
-/// Entries that hear a new announcement from each entry; two more rounds reach 16 entries.
+/// Number of entries to which each entry forwards a new announcement; two more rounds reach 16
+/// entries.
 const FANOUT: usize = 4;
-/// Time for which a crash report waits for acknowledgements.
-const CRASH_WAIT: Millis = Millis(100);
+/// Maximum wait for the acknowledgements of a crash report.
+const CRASH_REPORT_TIMEOUT: Millis = Millis(100);
 const CALL_TIMEOUT: Millis = Millis(500);
-/// Silence of all other processes after which an entry counts as cut off. Each is asked about once
-/// a second.
+/// Time without an answer from any other process after which an entry counts as isolated. A keeper
+/// and another entry are each called about once a second.
 const ISOLATION_TIMEOUT: Millis = Millis(5_000);
-/// Steps of one comparison; it needs four, and more only if both sides change meanwhile.
-const SYNC_STEPS: usize = 8;
+/// Maximum number of steps of one anti-entropy exchange. An exchange needs four steps, and more
+/// only if both sides change meanwhile.
+const MAX_SYNC_STEPS: usize = 8;
 
-/// What this entry knows through announcements and through other entries.
+/// State that this entry has received in announcements and from other entries.
 pub struct Neighbours {
     own: Mutex<EntryAnnouncement>,
     seeds: Vec<PeerAddress>,
@@ -42,12 +45,12 @@
     target_rumours: Mutex<Gossip<Announcement>>,
     entry_rumours: Mutex<Gossip<EntryAnnouncement>>,
     rules: Mutex<RulesCopy>,
-    /// When a keeper or another entry last answered, in milliseconds.
+    /// Time of the last answer of a keeper or another entry, in milliseconds.
     last_contact: AtomicU64,
 }
 
 impl Neighbours {
-    /// Creates the state of an entry that announces itself as `own` and knows `seeds`.
+    /// Creates the state of the entry with the announcement `own`, which contacts `seeds` first.
     pub fn new(
         own: EntryAnnouncement,
         seeds: Vec<PeerAddress>,
@@ -73,21 +76,21 @@
         }
     }
 
-    /// Notes that a keeper or another entry answered.
-    pub fn note_contact(&self) {
+    /// Records that a keeper or another entry answered.
+    pub fn record_contact(&self) {
         let now = self.clock.now();
         self.last_contact.store(now.0, Ordering::Relaxed);
     }
 
-    /// Whether this entry is cut off: it should know others, and none has answered for a while.
+    /// Whether no keeper and no other entry has answered for [`ISOLATION_TIMEOUT`].
     ///
-    /// Entries that lost only the keepers still answer each other and go on.
+    /// Entries that lost only the keepers still answer each other and continue to serve.
     pub fn is_isolated(&self) -> bool {
         let last_contact = Timestamp(self.last_contact.load(Ordering::Relaxed));
         self.clock.now().since(last_contact) >= ISOLATION_TIMEOUT
     }
 
-    /// Takes an announcement from a target.
+    /// Applies an announcement received from a target.
     pub fn announce(&self, announcement: Announcement) -> Verdict {
         let verdict = self
             .targets
@@ -110,7 +113,7 @@
         verdict
     }
 
-    /// The targets of a service that are not leaving.
+    /// Targets of a service that are not leaving.
     pub fn members(&self, service: &ServiceName, now: Timestamp) -> Vec<Member> {
         let targets = self.targets.lock();
         targets
@@ -119,28 +122,28 @@
             .collect()
     }
 
-    /// Notes that real work succeeded on a target.
+    /// Records that a request succeeded on a target.
     pub fn record_success(&self, now: Timestamp, service: &ServiceName, member: &Member) {
         self.targets
             .lock()
             .record_success(now, service, &member.id, member.incarnation);
     }
 
-    /// Forgets what has been stale for long.
+    /// Removes expired records of targets and entries.
     pub fn expire(&self) {
         let now = self.clock.now();
         self.targets.lock().expire(now);
         self.entries.lock().expire(now);
     }
 
-    /// Changes whether this entry takes work, for the other entries.
+    /// Sets the state that this entry announces to the other entries.
     pub fn set_state(&self, state: State) {
         self.own.lock().state = state;
     }
 
-    /// Announces this entry and sends what is new to a few others.
-    pub fn spread(&self, revision: Revision) {
-        let own = self.renew_own(revision);
+    /// Sends this entry's announcement and all pending rumours to a few other entries.
+    pub fn send_rumours(&self, revision: Revision) {
+        let own = self.next_announcement(revision);
         let peers = self.peers();
         let targets = self.target_rumours.lock().take_pending();
         let mut rumours = self.entry_rumours.lock();
@@ -148,7 +151,7 @@
         entries.push(own);
         let request = Request::Rumours { targets, entries };
         let Ok(body) = request.encode() else {
-            warn!("rumours are too long to be sent");
+            warn!("rumours not sent: the message exceeds the size limit");
             return;
         };
         for peer in rumours.pick_peers(&peers) {
@@ -156,13 +159,13 @@
         }
     }
 
-    /// Sends what this entry saw of suspected targets to every other entry.
+    /// Sends this entry's evidence about suspected targets to all other entries.
     pub fn send_evidence(&self, evidence: Vec<ServiceEvidence>) {
         if evidence.is_empty() {
             return;
         }
         let Ok(body) = Request::Evidence(evidence).encode() else {
-            warn!("evidence is too long to be sent");
+            warn!("evidence not sent: the message exceeds the size limit");
             return;
         };
         for peer in self.peers() {
@@ -170,7 +173,8 @@
         }
     }
 
-    fn renew_own(&self, revision: Revision) -> EntryAnnouncement {
+    /// Advances this entry's announcement, applies it locally and returns it.
+    fn next_announcement(&self, revision: Revision) -> EntryAnnouncement {
         let mut own = self.own.lock();
         own.sequence.0 += 1;
         own.revision = revision;
@@ -181,7 +185,7 @@
         own.clone()
     }
 
-    /// The other entries: those that are known, and the seeds of the settings.
+    /// Addresses of the other entries: the fresh known ones and the configured seeds.
     pub fn peers(&self) -> Vec<PeerAddress> {
         let now = self.clock.now();
         let own = self.own.lock().vm.clone();
@@ -203,8 +207,8 @@
         peers
     }
 
-    /// Takes rumours of another entry.
-    pub fn take_rumours(&self, targets: &[Announcement], entries: &[EntryAnnouncement]) {
+    /// Merges rumours received from another entry.
+    pub fn merge_rumours(&self, targets: &[Announcement], entries: &[EntryAnnouncement]) {
         let now = self.clock.now();
         let new_targets = self.targets.lock().merge(now, targets);
         self.target_rumours.lock().push(new_targets);
@@ -212,7 +216,7 @@
         self.entry_rumours.lock().push(new_entries);
     }
 
-    /// Takes one step of a comparison of targets.
+    /// Handles one message of an anti-entropy exchange of targets.
     pub fn sync_targets(
         &self,
         message: SyncMessage<Announcement>,
@@ -222,7 +226,7 @@
         reply
     }
 
-    /// Takes one step of a comparison of entries.
+    /// Handles one message of an anti-entropy exchange of entries.
     pub fn sync_entries(
         &self,
         message: SyncMessage<EntryAnnouncement>,
@@ -232,10 +236,11 @@
         reply
     }
 
-    /// Compares all knowledge with one other entry; `false` if it could not be reached.
-    pub async fn compare_with(&self, peer: &PeerAddress) -> bool {
+    /// Runs an anti-entropy exchange of targets and entries with another entry; returns `false` if
+    /// that entry did not answer every call.
+    pub async fn sync_with(&self, peer: &PeerAddress) -> bool {
         let mut message = Some(self.targets.lock().open_exchange());
-        for _ in 0..SYNC_STEPS {
+        for _ in 0..MAX_SYNC_STEPS {
             let Some(next) = message.take() else { break };
             match self.call(peer, &Request::SyncTargets(next)).await {
                 Some(Reply::SyncTargets(reply)) => {
@@ -245,7 +250,7 @@
             }
         }
         let mut message = Some(self.entries.lock().open_exchange());
-        for _ in 0..SYNC_STEPS {
+        for _ in 0..MAX_SYNC_STEPS {
             let Some(next) = message.take() else { break };
             match self.call(peer, &Request::SyncEntries(next)).await {
                 Some(Reply::SyncEntries(reply)) => {
@@ -257,7 +262,7 @@
         true
     }
 
-    /// The highest revision that another entry has in force, and where to get it.
+    /// Highest revision in force on any fresh entry, and the address of that entry.
     pub fn newest_revision(&self) -> Option<(Revision, PeerAddress)> {
         let now = self.clock.now();
         let entries = self.entries.lock();
@@ -275,12 +280,12 @@
             })
     }
 
-    /// The rules that this entry has in force, to serve other entries.
+    /// Copy of the rules from which this entry serves other entries.
     pub fn rules(&self) -> &Mutex<RulesCopy> {
         &self.rules
     }
 
-    /// Fetches the rules after `have` from another entry.
+    /// Fetches the changes to the rules since revision `have` from another entry.
     pub(crate) async fn fetch_rules(&self, peer: &PeerAddress, have: Revision) -> Option<Delta> {
         let data_centre = self.own.lock().data_centre.clone();
         match self
@@ -297,7 +302,7 @@
             .await
             .inspect_err(|error| debug!("entry {} did not answer: {error}", peer.vm))
             .ok()?;
-        self.note_contact();
+        self.record_contact();
         Some(reply)
     }
 }
@@ -312,7 +317,7 @@
                     .iter()
                     .map(|peer| Box::pin(self.call(peer, &request)))
                     .collect();
-                // The calls run side by side; each is polled until all have ended.
+                // Polls all calls concurrently until each has completed.
                 futures_lite::future::poll_fn(|cx| {
                     calls.retain_mut(|call| call.poll(cx).is_pending());
                     if calls.is_empty() {
@@ -323,11 +328,14 @@
                 })
                 .await;
             };
-            acknowledged.or(self.clock.sleep(CRASH_WAIT)).await;
+            acknowledged
+                .or(self.clock.sleep(CRASH_REPORT_TIMEOUT))
+                .await;
         })
     }
 }
 
+/// Converts an announcement to a member of a fleet.
 fn member(announcement: &Announcement, liveness: Liveness, now: Timestamp) -> Member {
     Member {
         id: announcement.target.clone(),
--- a/crates/auburnbridge_entry/src/request.rs
+++ b/crates/auburnbridge_entry/src/request.rs
@@ -1,4 +1,4 @@
-//! What an entry reads from a caller's request before it decides anything.
+//! Parsing and validation of the routing headers of a caller's request.
 
 use auburnbridge_caller::Problem;
 use auburnbridge_http::Request;
@@ -6,42 +6,42 @@
 use auburnbridge_types::{AccountId, BodyDigest, ErrorKind, IdempotencyKey, Millis, Timestamp};
 use sha2::{Digest, Sha256};
 
-/// Header with the caller's key of a non-idempotent request.
+/// Header with the idempotency key of a non-idempotent request.
 pub const KEY_HEADER: &str = "Idempotency-Key";
-/// Header with the milliseconds that the caller waits.
+/// Header with the time that the caller waits for the answer, in milliseconds.
 pub const DEADLINE_HEADER: &str = "Auburnbridge-Deadline-Ms";
 /// Header with the caller's account.
 pub const ACCOUNT_HEADER: &str = "Auburnbridge-Account";
 /// Header with the number of earlier attempts of the same request.
 pub const PREVIOUS_ATTEMPTS_HEADER: &str = "Auburnbridge-Previous-Attempts";
-/// Account of a caller that names none.
+/// Account of a request without an account header.
 const ANONYMOUS: &str = "anonymous";
 
-/// A request with everything that decisions about it need.
+/// Request of a caller with its route and parsed headers.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// The request as it arrived.
+    /// Request as received.
     pub message: Request,
-    /// The rule that matches it.
+    /// Route that matches the request.
     pub route: Route,
-    /// The caller's account.
+    /// Client account of the caller.
     pub account: AccountId,
-    /// The caller's key.
+    /// Idempotency key; `None` for idempotent requests.
     pub key: Option<IdempotencyKey>,
-    /// How often the caller sent the request before, when it states that.
+    /// Number of earlier sends of the same request, if the caller states it.
     pub previous_attempts: Option<u32>,
     /// Time of arrival.
     pub arrived: Timestamp,
-    /// Time after which nobody waits for the answer.
+    /// Time at which the caller stops waiting for the answer.
     pub deadline: Timestamp,
 }
 
 impl CallerRequest {
-    /// Reads a request against the rules.
+    /// Matches a request to a route and parses its headers.
     pub fn read(message: Request, rules: &Rules, now: Timestamp) -> Result<Self, Problem> {
-        // An entry with other rules may have run an earlier attempt.
+        // An entry with other rules may have accepted and run an earlier attempt.
         let may_be_resend = message.headers.get(KEY_HEADER).is_some() && !is_first_send(&message);
-        Self::read_parts(message, rules, now).map_err(|problem| {
+        Self::read_headers(message, rules, now).map_err(|problem| {
             if may_be_resend {
                 problem.for_possible_resend()
             } else {
@@ -50,7 +50,7 @@
         })
     }
 
-    fn read_parts(message: Request, rules: &Rules, now: Timestamp) -> Result<Self, Problem> {
+    fn read_headers(message: Request, rules: &Rules, now: Timestamp) -> Result<Self, Problem> {
         let path = message.path.split('?').next().unwrap_or_default();
         let route = message
             .method
@@ -63,7 +63,7 @@
             })?
             .clone();
         let account = header(&message, ACCOUNT_HEADER)?
-            .unwrap_or_else(|| ANONYMOUS.parse().expect("the constant is a name"));
+            .unwrap_or_else(|| ANONYMOUS.parse().expect("`ANONYMOUS` is a valid name"));
         let wait = header(&message, DEADLINE_HEADER)?
             .map_or(route.timeout, |wait: Millis| wait.min(route.timeout));
         let previous_attempts: Option<u32> = header(&message, PREVIOUS_ATTEMPTS_HEADER)?;
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Digest that identifies the request across resends.
+    /// Digest of account, method, path and body, which identifies the request across resends.
     pub fn digest(&self) -> BodyDigest {
         let mut hasher = Sha256::new();
         for part in [
@@ -94,16 +94,16 @@
             self.message.path.as_bytes(),
             &self.message.body,
         ] {
-            // The length keeps the boundary between two parts from shifting.
+            // The length prefix makes the boundaries between the parts unambiguous.
             hasher.update((part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
         BodyDigest(hasher.finalize().into())
     }
 
-    /// Makes the outcome of a rejection certain: `not-run` stands only if no earlier attempt can
-    /// have run, as the ledger was not asked.
-    pub fn refuse_unread(&self, problem: Problem) -> Problem {
+    /// Sets the outcome of a rejection without a grant. The outcome `not-run` is kept only if there
+    /// was no earlier attempt; otherwise one may have run, which the ledger did not rule out.
+    pub fn reject_without_grant(&self, problem: Problem) -> Problem {
         if self.key.is_some() && self.previous_attempts != Some(0) {
             problem.for_possible_resend()
         } else {
@@ -111,10 +111,10 @@
         }
     }
 
-    /// Makes the outcome of a rejection certain after the grant was withdrawn: `not-run` stands only
-    /// if the caller numbers its sends, since the ledger then refuses a delayed Grant of an earlier
-    /// send. Without a number it can't tell that Grant from a resend.
-    pub fn refuse_withdrawn(&self, problem: Problem) -> Problem {
+    /// Sets the outcome of a rejection after the grant was withdrawn. The outcome `not-run` is kept
+    /// only if the caller numbers its sends: the ledger then rejects a delayed Grant command of an
+    /// earlier send. Without a number it cannot distinguish that command from one of a resend.
+    pub fn reject_after_withdrawal(&self, problem: Problem) -> Problem {
         if self.previous_attempts.is_none() {
             problem.for_possible_resend()
         } else {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Whether the caller states that it sent the request never before; a doubled header states nothing.
+/// Whether the caller states that this is the first send; a repeated header is ignored.
 fn is_first_send(message: &Request) -> bool {
     let mut values = message.headers.get_all(PREVIOUS_ATTEMPTS_HEADER);
     values.next() == Some(b"0") && values.next().is_none()
--- a/crates/auburnbridge_entry/src/rules_feed.rs
+++ b/crates/auburnbridge_entry/src/rules_feed.rs
@@ -1,8 +1,8 @@
 //! Keeps the rules of an entry up to date.
 //!
-//! The entry asks one keeper after the other for what follows its revision, and another entry when
-//! that entry has a newer revision in force. A copy takes only higher revisions, so no stale keeper
-//! or entry can bring an older one into force.
+//! The entry polls the keepers in turn for changes since its revision, and fetches them from
+//! another entry that has a newer revision in force. It applies only higher revisions, so a stale
+//! keeper or entry cannot bring an older one into force.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -15,11 +15,11 @@
 use crate::keeper_client::KeeperClient;
 use crate::neighbours::Neighbours;
 
-/// Interval of the questions to the keepers; a change is in force about one interval after it was
-/// accepted.
-const POLL: Millis = Millis(500);
+/// Interval between polls of the keepers; a change is in force about one interval after the keepers
+/// accepted it.
+const POLL_INTERVAL: Millis = Millis(500);
 
-/// Fetches rules for one entry.
+/// Fetches rules for an entry and puts them in force.
 pub struct RulesFeed {
     entry: Arc<Entry>,
     keepers: Arc<KeeperClient>,
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Asks every keeper and every known entry once, so that a restarted entry begins with the
-    /// newest revision that any reachable process knows. Gives the number of processes reached.
+    /// Polls every keeper and every known entry once, so that a restarted entry starts with the
+    /// newest revision of any reachable process. Returns the number of processes that answered.
     pub async fn catch_up(&self) -> usize {
         let mut reached = 0;
         for keeper in self.keepers.keepers() {
@@ -66,36 +66,37 @@
         reached
     }
 
-    /// Asks for newer rules until the process ends.
+    /// Polls for newer rules; never returns.
     pub async fn run(&self) {
         loop {
             self.poll_keeper().await;
             self.poll_newest_entry().await;
-            self.clock.sleep(POLL).await;
+            self.clock.sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Asks the next keeper; its list of entries then shows this entry's revision.
+    /// Polls the next keeper, whose list of entries then shows this entry's revision.
     async fn poll_keeper(&self) {
         let keepers = self.keepers.keepers();
         if keepers.is_empty() {
             return;
         }
-        let at = self.next_keeper.fetch_add(1, Ordering::Relaxed) % keepers.len();
+        let index = self.next_keeper.fetch_add(1, Ordering::Relaxed) % keepers.len();
         let have = self.revision();
-        let Some(delta) = self.keepers.fetch_rules(&keepers[at], have).await else {
+        let Some(delta) = self.keepers.fetch_rules(&keepers[index], have).await else {
             return;
         };
-        self.neighbours.note_contact();
+        self.neighbours.record_contact();
         if !self.apply(&delta) {
-            // The delta does not fit this copy, so the whole text is fetched from the start.
+            // The delta does not apply to this copy, so the complete rules are fetched.
             let nothing = Revision(0);
-            if let Some(whole) = self.keepers.fetch_rules(&keepers[at], nothing).await {
+            if let Some(whole) = self.keepers.fetch_rules(&keepers[index], nothing).await {
                 self.apply(&whole);
             }
         }
     }
 
+    /// Fetches rules from the entry with the highest revision, if that is newer.
     async fn poll_newest_entry(&self) {
         let have = self.revision();
         let Some((newest, peer)) = self.neighbours.newest_revision() else {
@@ -113,7 +114,7 @@
         self.neighbours.rules().lock().revision()
     }
 
-    /// Takes a delta over; `false` if the whole text is needed instead.
+    /// Applies a delta; returns `false` if the complete rules are needed instead.
     fn apply(&self, delta: &Delta) -> bool {
         let in_force = {
             let mut copy = self.neighbours.rules().lock();
@@ -129,7 +130,7 @@
                     return false;
                 }
             }
-            // A keeper that has just restarted offers the empty rules until it hears of a leader.
+            // A keeper that has just restarted serves empty rules until it learns of a leader.
             if copy.revision() == Revision(0) {
                 return true;
             }
--- a/crates/auburnbridge_entry/src/run.rs
+++ b/crates/auburnbridge_entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs an entry as a process.
+//! Process of an entry: listeners, background tasks and shutdown.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -26,63 +26,63 @@
 use error_stack::{Report, ResultExt};
 use log::{info, warn};
 
-use crate::entry::{Entry, Location, Ports, RuntimeTasks};
+use crate::entry::{Entry, Location, Ports, RuntimeTaskSpawner};
 use crate::keeper_client::KeeperClient;
 use crate::neighbours::Neighbours;
 use crate::rules_feed::RulesFeed;
 use crate::server::EntryServer;
 use crate::targets_api::targets_app;
 
-/// Interval of the comparison with one other entry and of decisions that depend on time.
+/// Interval of anti-entropy with one other entry and of the expiry of records and connections.
 const MAINTENANCE_INTERVAL: Millis = Millis(1_000);
-/// Interval of the evidence that is sent to the other entries while a target is suspected.
+/// Interval at which evidence is sent to the other entries while a target is suspected.
 const EVIDENCE_INTERVAL: Millis = Millis(200);
-/// Longest wait at a planned stop until the ledger knows how all requests ended.
-const SETTLE_LIMIT: Millis = Millis(5_000);
+/// Maximum wait at a graceful stop for the pending commands to the ledger that end requests.
+const SETTLEMENT_TIMEOUT: Millis = Millis(5_000);
 const KEY_RELOAD_INTERVAL: Millis = Millis(30_000);
-/// Interval of rumours and of an entry's own announcement.
-const SPREAD_INTERVAL: Millis = Millis(200);
-/// Interval at which new announcements reach the fleets.
-const PLACEMENT_INTERVAL: Millis = Millis(100);
+/// Interval at which rumours and this entry's own announcement are sent.
+const GOSSIP_INTERVAL: Millis = Millis(200);
+/// Interval at which new announcements are applied to the fleets.
+const FLEET_UPDATE_INTERVAL: Millis = Millis(100);
 
-/// What an entry needs to run.
+/// Settings of an entry process.
 #[derive(Clone, Debug)]
 pub struct EntryOptions {
-    /// Its VM.
+    /// VM of the entry.
     pub vm: VmId,
-    /// Its data centre.
+    /// Data centre of the entry.
     pub data_centre: DataCentre,
-    /// Where it listens for callers and the balancer.
+    /// Listen address for callers and for readiness checks of the balancer.
     pub caller_address: SocketAddr,
-    /// Where it listens for announcements of targets.
+    /// Listen address for announcements of targets.
     pub announce_address: SocketAddr,
-    /// Where it listens for other processes.
+    /// Listen address for other processes.
     pub peer_address: SocketAddr,
-    /// Folder with its certificate and key.
+    /// Folder with the certificate and key of the entry.
     pub keys: PathBuf,
-    /// The keepers.
+    /// Addresses of the keepers.
     pub keepers: Vec<PeerAddress>,
-    /// A few other entries.
+    /// Addresses of a few other entries, used as gossip seeds.
     pub entries: Vec<PeerAddress>,
-    /// Time that the balancer needs to notice that the entry isn't ready.
+    /// Time until the balancer notices that the entry is not ready.
     pub balancer_lag: Millis,
-    /// Longest time for requests in flight to end after that.
+    /// Maximum time after that for requests in flight to complete.
     pub shutdown_limit: Millis,
-    /// Longest request head.
+    /// Maximum size of a request head.
     pub request_head_limit: ByteSize,
-    /// Longest request body.
+    /// Maximum size of a request body.
     pub request_body_limit: ByteSize,
-    /// Where targets and their states can be read, if anywhere.
+    /// Listen address of the read-only targets API, if enabled.
     pub operator_address: Option<SocketAddr>,
-    /// Bytes of all bodies together.
+    /// Memory limit for all request and answer bodies together.
     pub answer_memory: ByteSize,
-    /// Connections to one target.
+    /// Maximum number of connections to one target.
     pub connections_per_target: usize,
-    /// Statsd server that gets the metrics, if any.
+    /// Address of the statsd server that receives the metrics, if any.
     pub metrics_address: Option<SocketAddr>,
 }
 
-/// Reason why an entry can't start.
+/// Error of starting an entry; the cause is attached to the report.
 #[derive(Debug)]
 pub struct EntryError;
 
@@ -105,13 +105,13 @@
     neighbours: Arc<Neighbours>,
     lifecycle: Arc<Lifecycle>,
     clock: Arc<dyn Clock>,
-    /// Whether every keeper and known entry was asked for its rules once.
+    /// Whether every keeper and known entry was polled for its rules once.
     has_caught_up: AtomicBool,
     options: EntryOptions,
 }
 
 impl RunningEntry {
-    /// Starts to listen; the entry is ready once it has rules.
+    /// Starts the listeners and background tasks; the entry becomes ready once it has rules.
     pub async fn start(options: EntryOptions) -> Result<Self, Report<EntryError>> {
         let clock: Arc<dyn Clock> = Arc::new(RuntimeClock);
         let keys = KeyRing::load(&options.keys, clock.now()).change_context(EntryError)?;
@@ -138,9 +138,9 @@
         let ports = Ports {
             clock: Arc::clone(&clock),
             ledger: Arc::clone(&keepers) as Arc<dyn crate::LedgerClient>,
-            targets: Arc::clone(&pool) as Arc<dyn crate::TargetPort>,
+            targets: Arc::clone(&pool) as Arc<dyn crate::TargetClient>,
             crashes: Arc::clone(&neighbours) as Arc<dyn crate::CrashReporter>,
-            tasks: Arc::new(RuntimeTasks),
+            tasks: Arc::new(RuntimeTaskSpawner),
             metrics: Arc::new(Metrics::new(options.metrics_address).change_context(EntryError)?),
             seed: rand::random(),
         };
@@ -183,9 +183,9 @@
         })
     }
 
-    /// Stops gracefully; `hurry` completes when the balancer's lag need not be waited for. Gives the
-    /// number of requests that were still in flight at the limit.
-    pub async fn stop(self, hurry: impl Future<Output = ()> + Send) -> usize {
+    /// Stops gracefully. Completion of `skip_lag` ends the wait for the balancer's lag. Returns the
+    /// number of requests that were still in flight at the shutdown limit.
+    pub async fn stop(self, skip_lag: impl Future<Output = ()> + Send) -> usize {
         let shared = &self.shared;
         info!(
             "shutdown phase=draining in_flight={}",
@@ -194,7 +194,7 @@
         shared.lifecycle.begin_draining();
         shared.neighbours.set_state(State::Leaving);
         let lag = shared.clock.sleep(shared.options.balancer_lag);
-        futures_lite::FutureExt::or(lag, hurry).await;
+        futures_lite::FutureExt::or(lag, skip_lag).await;
         info!(
             "shutdown phase=closing in_flight={}",
             shared.lifecycle.in_flight()
@@ -205,7 +205,7 @@
             .lifecycle
             .wait_idle(shared.clock.as_ref(), limit)
             .await;
-        let unsettled = shared.entry.wait_settled(SETTLE_LIMIT).await;
+        let unsettled = shared.entry.wait_for_settlements(SETTLEMENT_TIMEOUT).await;
         info!("shutdown phase=done in_flight={remaining} unsettled={unsettled}");
         self.peer_server.close().await;
         remaining
@@ -271,10 +271,10 @@
             shared.has_caught_up.store(true, Ordering::SeqCst);
             feed.run().await;
         });
-        self.spawn_every(SPREAD_INTERVAL, |shared| {
-            shared.neighbours.spread(shared.entry.revision());
+        self.spawn_every(GOSSIP_INTERVAL, |shared| {
+            shared.neighbours.send_rumours(shared.entry.revision());
         });
-        self.spawn_every(PLACEMENT_INTERVAL, Self::place);
+        self.spawn_every(FLEET_UPDATE_INTERVAL, Self::update_fleets);
         self.spawn_every(EVIDENCE_INTERVAL, |shared| {
             let evidence = shared.entry.fleets().evidence(shared.clock.now());
             shared.neighbours.send_evidence(evidence);
@@ -295,8 +295,8 @@
         });
     }
 
-    /// Brings announcements into the fleets.
-    fn place(&self) {
+    /// Applies announcements to the fleets.
+    fn update_fleets(&self) {
         let now = self.clock.now();
         for service in self.entry.fleets().names() {
             let members = self.neighbours.members(&service, now);
@@ -304,32 +304,30 @@
         }
     }
 
-    /// Keeps targets that work although their announcements don't arrive.
-    fn note_work_on_stale_targets(&self) {
+    /// Keeps stale targets on which requests succeed although their announcements do not arrive.
+    fn record_success_of_stale_targets(&self) {
         let fleets = self.entry.fleets();
         for service in fleets.names() {
             for view in fleets.view(&service) {
-                if let (Presence::Stale(_), Some(worked)) =
+                if let (Presence::Stale(_), Some(last_success)) =
                     (view.member.presence, view.last_success)
                 {
                     self.neighbours
-                        .record_success(worked, &service, &view.member);
+                        .record_success(last_success, &service, &view.member);
                 }
             }
         }
     }
 
     async fn maintain(&self, pool: &Pool) {
-        let mut turn = 0;
+        let mut round = 0;
         loop {
             let peers = self.neighbours.peers();
             if !peers.is_empty() {
-                self.neighbours
-                    .compare_with(&peers[turn % peers.len()])
-                    .await;
+                self.neighbours.sync_with(&peers[round % peers.len()]).await;
             }
-            turn += 1;
-            self.note_work_on_stale_targets();
+            round += 1;
+            self.record_success_of_stale_targets();
             self.neighbours.expire();
             pool.close_expired();
             self.clock.sleep(MAINTENANCE_INTERVAL).await;
@@ -358,7 +356,7 @@
         let service = announcement.service.clone();
         let verdict = self.neighbours.announce(announcement);
         if verdict == Verdict::Left {
-            // A departure takes effect before the target hears that it was taken.
+            // A departure takes effect before the target receives the reply to its announcement.
             let now = self.clock.now();
             let members = self.neighbours.members(&service, now);
             self.entry.fleets().update(now, &service, &members);
@@ -369,7 +367,7 @@
     }
 }
 
-/// Serves callers and the balancer on one address.
+/// Serves callers and readiness checks of the balancer on one address.
 struct CallerService {
     entry: Arc<Entry>,
     readiness: TideService<()>,
--- a/crates/auburnbridge_entry/src/server.rs
+++ b/crates/auburnbridge_entry/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of other entries.
+//! Server for the requests of other processes.
 
 use std::sync::Arc;
 
@@ -10,14 +10,14 @@
 use crate::entry::Entry;
 use crate::neighbours::Neighbours;
 
-/// An entry towards the other processes.
+/// Handler of the requests that other processes send to an entry.
 pub struct EntryServer {
     entry: Arc<Entry>,
     neighbours: Arc<Neighbours>,
 }
 
 impl EntryServer {
-    /// Creates the server of an entry.
+    /// Creates the handler of an entry.
     pub fn new(entry: Arc<Entry>, neighbours: Arc<Neighbours>) -> Self {
         Self { entry, neighbours }
     }
@@ -36,7 +36,7 @@
                 Reply::Done
             }
             (Request::Rumours { targets, entries }, Role::Entry) => {
-                self.neighbours.take_rumours(&targets, &entries);
+                self.neighbours.merge_rumours(&targets, &entries);
                 Reply::Done
             }
             (Request::SyncTargets(message), Role::Entry) => {
--- a/crates/auburnbridge_entry/src/target_port.rs
+++ b/crates/auburnbridge_entry/src/target_client.rs
@@ -1,4 +1,4 @@
-//! Border towards the targets.
+//! Interface to the targets.
 
 use std::net::SocketAddr;
 
@@ -7,12 +7,12 @@
 use auburnbridge_target::{Exchange, Pool};
 use auburnbridge_types::{BoxFuture, Timestamp};
 
-/// Sends single requests to targets.
-pub trait TargetPort: Send + Sync {
+/// Exchanges single requests with targets.
+pub trait TargetClient: Send + Sync {
     /// Sends `req` to `address`; dropping the future cancels the exchange.
     ///
-    /// A request of the class `Once` uses only connections that were used a short time ago, since a
-    /// target that closes an idle one at the same moment leaves the outcome unknown.
+    /// A request of the class `Once` uses only recently used connections: if a target closes an
+    /// idle connection while the request is sent, the outcome is unknown.
     fn exchange<'a>(
         &'a self,
         address: SocketAddr,
@@ -22,11 +22,11 @@
         deadline: Timestamp,
     ) -> BoxFuture<'a, Exchange>;
 
-    /// Whether the target refuses connections, which tells a crash from a broken connection.
+    /// Whether the target refuses connections, which distinguishes a crash from a lost connection.
     fn refuses_connections(&self, address: SocketAddr) -> BoxFuture<'_, bool>;
 }
 
-impl TargetPort for Pool {
+impl TargetClient for Pool {
     fn exchange<'a>(
         &'a self,
         address: SocketAddr,
--- a/crates/auburnbridge_entry/src/targets_api.rs
+++ b/crates/auburnbridge_entry/src/targets_api.rs
@@ -1,6 +1,7 @@
-//! The targets that an entry knows, for operators.
+//! HTTP API for operators that lists the targets known to an entry.
 //!
-//! The endpoint is read-only and asks for no key, so its address belongs on a network of operators.
+//! The endpoint is read-only and not authenticated, so its address must be on an operators'
+//! network.
 
 use std::sync::Arc;
 
@@ -9,7 +10,7 @@
 
 use crate::entry::Entry;
 
-/// The application with `GET /auburnbridge/targets`.
+/// Application that serves `GET /auburnbridge/targets`.
 pub(crate) fn targets_app(entry: Arc<Entry>) -> tide::Server<()> {
     let mut app = tide::new();
     app.at("/auburnbridge/targets")
@@ -25,7 +26,7 @@
     app
 }
 
-/// Every target with the figures that its last decision rests on.
+/// All targets with their state and the values behind the last placement decision.
 fn describe_targets(entry: &Entry) -> Value {
     let mut targets = Vec::new();
     for service in entry.fleets().names() {
--- a/crates/auburnbridge_entry/tests/request_path/fakes.rs
+++ b/crates/auburnbridge_entry/tests/request_path/fakes.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::task::Poll;
 
-use auburnbridge_entry::{CrashReporter, Entry, LedgerClient, LedgerUnavailable, TargetPort};
+use auburnbridge_entry::{CrashReporter, Entry, LedgerClient, LedgerUnavailable, TargetClient};
 use auburnbridge_http::{FramingError, Limits, Request, Response};
 use auburnbridge_ledger::{Command, Ledger, Reply};
 use auburnbridge_policy::{CrashReport, RequestClass};
@@ -364,7 +364,7 @@
     response
 }
 
-impl TargetPort for World {
+impl TargetClient for World {
     fn exchange<'a>(
         &'a self,
         address: SocketAddr,
--- a/crates/auburnbridge_entry/tests/request_path/scenario.rs
+++ b/crates/auburnbridge_entry/tests/request_path/scenario.rs
@@ -9,7 +9,7 @@
 use auburnbridge_caller::{Disconnect, DisconnectSignal, OUTCOME_HEADER, Service};
 use auburnbridge_entry::{
     DEADLINE_HEADER, Entry, KEY_HEADER, Location, PREVIOUS_ATTEMPTS_HEADER, Ports, RulesInForce,
-    Tasks,
+    TaskSpawner,
 };
 use auburnbridge_http::{Limits, Request, Response};
 use auburnbridge_metrics::Metrics;
@@ -74,13 +74,13 @@
     told: Option<Told>,
 }
 
-/// Tasks of one entry that outlive their request; the scenario polls them beside the sends.
+/// TaskSpawner of one entry that outlive their request; the scenario polls them beside the sends.
 #[derive(Default)]
 pub struct EntryTasks {
     started: Mutex<Vec<BoxFuture<'static, ()>>>,
 }
 
-impl Tasks for EntryTasks {
+impl TaskSpawner for EntryTasks {
     fn spawn(&self, task: BoxFuture<'static, ()>) {
         self.started.lock().push(task);
     }
@@ -89,7 +89,7 @@
 /// Runs each task to its end at once, for tests in which nothing holds it up.
 pub struct ImmediateTasks;
 
-impl Tasks for ImmediateTasks {
+impl TaskSpawner for ImmediateTasks {
     fn spawn(&self, mut task: BoxFuture<'static, ()>) {
         let mut cx = Context::from_waker(Waker::noop());
         assert!(task.as_mut().poll(&mut cx).is_ready(), "the task waits");
@@ -138,7 +138,11 @@
     }
 }
 
-pub fn start_entry(world: &Arc<World>, targets: &[Member], tasks: Arc<dyn Tasks>) -> Arc<Entry> {
+pub fn start_entry(
+    world: &Arc<World>,
+    targets: &[Member],
+    tasks: Arc<dyn TaskSpawner>,
+) -> Arc<Entry> {
     let seed = {
         let mut state = world.state.lock();
         state.entries_started += 1;
