--- a/crates/auburnbridge_entry/src/request.rs
+++ b/crates/auburnbridge_entry/src/request.rs
@@ -123,7 +123,7 @@
     }
 }
 
-/// Whether the caller states that this is the first send; a repeated header is ignored.
+/// Whether the caller states that this is the first send; a repeated header counts as no statement.
 fn is_first_send(message: &Request) -> bool {
     let mut values = message.headers.get_all(PREVIOUS_ATTEMPTS_HEADER);
     values.next() == Some(b"0") && values.next().is_none()
