--- a/crates/auburnbridge_entry/tests/request_path/crashes_and_retries.rs
+++ b/crates/auburnbridge_entry/tests/request_path/crashes_and_retries.rs
@@ -1,4 +1,4 @@
-//! Requests that crash their targets, the retry budget, and answers that need care.
+//! Requests that crash targets, the retry budget, and special cases of answers.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,30 +11,30 @@
 use auburnbridge_policy::Member;
 use auburnbridge_types::{IdempotencyKey, Millis};
 
-use crate::fakes::{SEND_HEADER, World};
-use crate::scenario::{ImmediateTasks, START, kind_of, member, poll, start_entry};
+use crate::fakes::{FakeCluster, SEND_HEADER};
+use crate::scenario::{ImmediateSpawner, START, kind_of, member, poll, start_entry};
 
 const TARGETS: u16 = 6;
-/// Polls after which a request without faults has ended.
+/// Number of polls within which a request without faults completes.
 const POLLS: usize = 50;
 
 type ResponseFuture = Pin<Box<dyn Future<Output = Response>>>;
 
-struct Pair {
-    world: Arc<World>,
+struct EntryPair {
+    cluster: Arc<FakeCluster>,
     entries: Vec<Arc<Entry>>,
 }
 
-impl Pair {
+impl EntryPair {
     fn new() -> Self {
-        let world = World::new(START, &[]);
+        let cluster = FakeCluster::new(START, &[]);
         let targets: Vec<Member> = (1..=TARGETS).map(member).collect();
         let entries = vec![
-            start_entry(&world, &targets, Arc::new(ImmediateTasks)),
-            start_entry(&world, &targets, Arc::new(ImmediateTasks)),
+            start_entry(&cluster, &targets, Arc::new(ImmediateSpawner)),
+            start_entry(&cluster, &targets, Arc::new(ImmediateSpawner)),
         ];
-        world.state.lock().entries.clone_from(&entries);
-        Self { world, entries }
+        cluster.state.lock().entries.clone_from(&entries);
+        Self { cluster, entries }
     }
 
     fn start(&self, entry: usize, req: Request) -> (ResponseFuture, DisconnectSignal) {
@@ -49,12 +49,12 @@
         let (mut future, _signal) = self.start(entry, req);
         (0..POLLS)
             .find_map(|_| poll(&mut future))
-            .expect("nothing holds the request up")
+            .expect("a request without faults completes")
     }
 
-    /// Makes the body crash every target that runs it.
+    /// Makes every target crash that runs a request with `body`.
     fn poison(&self, body: &[u8]) {
-        self.world
+        self.cluster
             .state
             .lock()
             .crashing_bodies
@@ -62,7 +62,7 @@
     }
 
     fn runs_of(&self, body: &[u8]) -> usize {
-        let state = self.world.state.lock();
+        let state = self.cluster.state.lock();
         state
             .executions
             .iter()
@@ -71,14 +71,14 @@
     }
 }
 
-fn lookup(body: &[u8]) -> Request {
+fn idempotent_req(body: &[u8]) -> Request {
     let mut req = Request::new("GET", "/bins/7");
     req.headers.append(SEND_HEADER, "0");
     req.body = body.to_vec().into();
     req
 }
 
-fn slip(method: &str, key: u8, body: &[u8]) -> Request {
+fn keyed_req(method: &str, key: u8, body: &[u8]) -> Request {
     let mut req = Request::new(method, "/slips");
     let key = IdempotencyKey::from_parts(START, [key; 10]);
     req.headers.append(SEND_HEADER, "0");
@@ -88,36 +88,37 @@
     req
 }
 
-/// Guards against a poison request that goes on crashing targets through the other entry, and
-/// against the refusal of another request in its place.
+/// Guards against a poison request that continues to crash targets through the other entry, and
+/// against the rejection of other requests as poison.
 #[test]
 fn poison_request_is_refused_on_both_entries() {
-    let pair = Pair::new();
+    let pair = EntryPair::new();
     pair.poison(b"poison");
     for entry in [0, 0, 1, 1] {
-        let response = pair.respond(entry, lookup(b"poison"));
+        let response = pair.respond(entry, idempotent_req(b"poison"));
         assert_eq!(kind_of(&response), "request-poisoned");
         assert_eq!(response.headers.text(OUTCOME_HEADER), Some("unknown"));
     }
     assert_eq!(pair.runs_of(b"poison"), 2);
     for (entry, key) in [(0, 1), (1, 2)] {
-        assert_eq!(pair.respond(entry, lookup(b"harmless")).status, 200);
-        // The same body on another path is another request.
+        assert_eq!(pair.respond(entry, idempotent_req(b"harmless")).status, 200);
+        // The same body on a different path is a different request.
         assert_eq!(
-            pair.respond(entry, slip("POST", key, b"poison")).status,
+            pair.respond(entry, keyed_req("POST", key, b"poison"))
+                .status,
             502
         );
     }
 }
 
-/// Guards against a keyed request that its caller sends under new keys and that crashes a target
-/// under each of them.
+/// Guards against a keyed request that crashes one target after another because its caller sends it
+/// with a new key each time.
 #[test]
 fn poison_request_under_new_keys_is_refused() {
-    let pair = Pair::new();
+    let pair = EntryPair::new();
     pair.poison(b"poison");
     let kinds: Vec<String> = (1..=4)
-        .map(|key| kind_of(&pair.respond(usize::from(key % 2), slip("POST", key, b"poison"))))
+        .map(|key| kind_of(&pair.respond(usize::from(key % 2), keyed_req("POST", key, b"poison"))))
         .collect();
     let refused = "request-poisoned";
     assert_eq!(
@@ -125,77 +126,82 @@
         ["answer-incomplete", "answer-incomplete", refused, refused]
     );
     assert_eq!(pair.runs_of(b"poison"), 2);
-    assert_eq!(pair.respond(0, slip("POST", 9, b"harmless")).status, 200);
+    assert_eq!(
+        pair.respond(0, keyed_req("POST", 9, b"harmless")).status,
+        200
+    );
 }
 
-/// Guards against an answer that is lost because the request was found to be poison later on.
+/// Guards against losing a stored answer when its request is classified as poison later.
 #[test]
-fn stored_answer_outlives_poison() {
-    let pair = Pair::new();
-    assert_eq!(pair.respond(0, slip("POST", 1, b"slip")).status, 200);
+fn stored_answer_of_a_poisoned_request_is_replayed() {
+    let pair = EntryPair::new();
+    assert_eq!(pair.respond(0, keyed_req("POST", 1, b"slip")).status, 200);
     pair.poison(b"slip");
     for key in [2, 3, 4] {
-        pair.respond(0, slip("POST", key, b"slip"));
+        pair.respond(0, keyed_req("POST", key, b"slip"));
     }
-    assert_eq!(pair.respond(1, slip("POST", 1, b"slip")).status, 200);
+    assert_eq!(pair.respond(1, keyed_req("POST", 1, b"slip")).status, 200);
 }
 
-/// Guards against a crash that no entry hears of because the caller left meanwhile.
+/// Guards against a crash that is not reported because the caller disconnects during the check
+/// whether the target crashed.
 #[test]
-fn crash_is_reported_though_the_caller_disconnects() {
-    let pair = Pair::new();
+fn crash_is_reported_after_the_caller_disconnects() {
+    let pair = EntryPair::new();
     pair.poison(b"poison");
     for _ in 0..2 {
-        pair.world.state.lock().crash_check_is_held = true;
-        let (mut future, signal) = pair.start(0, lookup(b"poison"));
+        pair.cluster.state.lock().crash_check_is_blocked = true;
+        let (mut future, signal) = pair.start(0, idempotent_req(b"poison"));
         assert!(poll(&mut future).is_none());
         signal.report();
         assert!(poll(&mut future).is_none());
-        pair.world.state.lock().crash_check_is_held = false;
+        pair.cluster.state.lock().crash_check_is_blocked = false;
         assert!(poll(&mut future).is_some());
     }
     assert_eq!(pair.runs_of(b"poison"), 2);
     assert_eq!(
-        kind_of(&pair.respond(1, lookup(b"poison"))),
+        kind_of(&pair.respond(1, idempotent_req(b"poison"))),
         "request-poisoned"
     );
 }
 
-/// Guards against retries that multiply the load of a service that fails everything.
+/// Guards against retries that multiply the load of a service whose every answer fails.
 #[test]
 fn retries_stay_within_their_budget() {
     const REQUESTS: usize = 1_000;
-    /// 10% of the requests, 3/s over one second, and the 3 that the bucket starts with.
+    /// 10% of the requests, 3/s over one second, and the initial 3 of the bucket.
     const RETRIES: usize = REQUESTS / 10 + 3 + 3;
-    let pair = Pair::new();
-    pair.world.state.lock().answer_fault = Some(FramingError::ClosedInBody);
+    let pair = EntryPair::new();
+    pair.cluster.state.lock().answer_fault = Some(FramingError::ClosedInBody);
     for _ in 0..REQUESTS {
-        let response = pair.respond(0, lookup(b"lookup"));
+        let response = pair.respond(0, idempotent_req(b"lookup"));
         assert_eq!(kind_of(&response), "answer-incomplete");
         assert_eq!(response.headers.text(OUTCOME_HEADER), Some("unknown"));
-        pair.world.clock.advance(Millis(1));
+        pair.cluster.clock.advance(Millis(1));
     }
-    let exchanges = pair.world.state.lock().exchanges;
+    let exchanges = pair.cluster.state.lock().exchanges;
     assert!(exchanges <= REQUESTS + RETRIES, "{exchanges} exchanges");
     assert!(exchanges > REQUESTS, "no request was retried");
 }
 
-/// Guards against a stored answer to `HEAD` that can't be replayed, since it has no body.
+/// Guards against a stored answer to `HEAD` that cannot be replayed because it has no body.
 #[test]
 fn answer_to_head_is_replayed() {
-    let pair = Pair::new();
-    let first = pair.respond(0, slip("HEAD", 1, b""));
-    let replayed = pair.respond(1, slip("HEAD", 1, b""));
+    let pair = EntryPair::new();
+    let first = pair.respond(0, keyed_req("HEAD", 1, b""));
+    let replayed = pair.respond(1, keyed_req("HEAD", 1, b""));
     assert_eq!((first.status, replayed.status), (200, 200));
     assert_eq!(pair.runs_of(b""), 1);
 }
 
-/// Guards against a target whose answer makes the entry appear to say that nothing ran.
+/// Guards against a target whose answer carries the outcome header, with which only the entry may
+/// state that a request did not run.
 #[test]
-fn target_does_not_speak_for_the_entry() {
-    let pair = Pair::new();
-    pair.world.state.lock().answer_header = Some((OUTCOME_HEADER, "not-run"));
-    for req in [lookup(b"lookup"), slip("POST", 1, b"slip")] {
+fn outcome_header_of_a_target_is_removed() {
+    let pair = EntryPair::new();
+    pair.cluster.state.lock().answer_header = Some((OUTCOME_HEADER, "not-run"));
+    for req in [idempotent_req(b"lookup"), keyed_req("POST", 1, b"slip")] {
         let response = pair.respond(0, req);
         assert_eq!(response.status, 200);
         assert_eq!(response.headers.get(OUTCOME_HEADER), None);
--- a/crates/auburnbridge_entry/tests/request_path/fakes.rs
+++ b/crates/auburnbridge_entry/tests/request_path/fakes.rs
@@ -1,4 +1,4 @@
-//! Fakes of the ledger, the targets and the other entries, which reach the planned faults.
+//! Fakes of the ledger, the targets and the other entries, which inject the planned faults.
 
 use std::collections::{HashSet, VecDeque};
 use std::future::poll_fn;
@@ -17,72 +17,73 @@
 
 use crate::fault::{Fault, Step};
 
-/// Header with the position of a send among those of its caller.
+/// Header with the index of a send among those of its caller.
 pub const SEND_HEADER: &str = "X-Send";
 
-/// What the fakes share: one ledger, one set of targets, and the faults that are to happen.
-pub struct World {
+/// Fake cluster shared by all entries of a test: one ledger, one set of targets and the planned
+/// faults.
+pub struct FakeCluster {
     pub clock: PausedClock,
-    pub state: Mutex<WorldState>,
+    pub state: Mutex<FakeClusterState>,
 }
 
 #[derive(Default)]
-pub struct WorldState {
+pub struct FakeClusterState {
     pub ledger: Ledger,
     pub ledger_is_down: bool,
-    /// The faults to come; each is armed once the one before it has happened.
+    /// Planned faults that are still to come; each becomes active after the previous one occurred.
     pub plan: VecDeque<(Step, Fault)>,
-    /// The send whose future is being polled.
+    /// Index of the send whose future is being polled.
     pub polled_send: usize,
-    /// External faults that were reached and are not carried out yet.
-    pub reached: VecDeque<Reached>,
-    /// How each step that waited goes on, by its ticket.
+    /// Steps that wait for [`FakeCluster::release`].
+    pub waiting_steps: VecDeque<WaitingStep>,
+    /// Continuation of each step that waited, indexed by its ticket.
     released: Vec<Option<Release>>,
-    /// Whether every step waits for a schedule.
+    /// Whether every step waits until the schedule releases it.
     pub is_scheduled: bool,
-    /// The ledger commands of a schedule.
+    /// Ledger commands sent in a scheduled run.
     pub commands: Vec<SentCommand>,
-    /// Every execution at a target.
+    /// All executions on targets.
     pub executions: Vec<Execution>,
-    /// Time until which every target sheds.
+    /// Time until which all targets shed requests.
     pub shed_until: Timestamp,
     /// Targets that refuse connections.
     pub crashed: HashSet<SocketAddr>,
-    /// Requests whose execution ends the target's process.
+    /// Bodies of requests whose execution crashes the target.
     pub crashing_bodies: HashSet<Vec<u8>>,
-    /// How every answer of a target breaks, if it does.
+    /// Framing error of every answer of a target, if set.
     pub answer_fault: Option<FramingError>,
-    /// A header of every whole answer.
+    /// Additional header of every complete answer, if set.
     pub answer_header: Option<(&'static str, &'static str)>,
-    /// Whether the question if a target refuses connections stays open.
-    pub crash_check_is_held: bool,
-    /// Exchanges that were started.
+    /// Whether the check if a target refuses connections stays pending.
+    pub crash_check_is_blocked: bool,
+    /// Number of exchanges started.
     pub exchanges: usize,
-    /// Exchanges that were started at or after their deadline.
+    /// Number of exchanges started at or after their deadline.
     pub late_exchanges: usize,
-    /// Seed of the random choices of all entries.
+    /// Base of the seeds of all entries.
     pub seed: u64,
     pub entries_started: u64,
-    /// The entries that get crash reports.
+    /// Entries that receive crash reports.
     pub entries: Vec<Arc<Entry>>,
 }
 
-/// How a step goes on: without a fault, or with one that the fake carries out.
+/// Continuation of a step: without a fault, or with one that the fake injects.
 type Release = Option<Fault>;
 
-/// A ledger command on its way, which may outlive the request that sent it.
+/// Ledger command in transit, which may outlive the request that sent it.
 pub struct SentCommand {
     command: Command,
-    /// The reply to its first application.
+    /// Reply to the first application of the command.
     reply: Option<Reply>,
     delivered: Option<Result<Reply, LedgerUnavailable>>,
 }
 
-/// The clock of an entry, whose backoff passes the step of choosing a target again.
-pub struct EntryClock(pub Arc<World>);
+/// Clock of an entry; a backoff counts as reaching the step `ChooseTarget` again.
+pub struct EntryClock(pub Arc<FakeCluster>);
 
-/// Longer sleeps wait for a deadline rather than for another try.
-const LONGEST_BACKOFF: Millis = Millis(640);
+/// Maximum sleep of a backoff; longer sleeps wait for a deadline.
+const MAX_BACKOFF: Millis = Millis(640);
 
 impl Clock for EntryClock {
     fn now(&self) -> Timestamp {
@@ -91,37 +92,37 @@
 
     fn sleep(&self, duration: Millis) -> BoxFuture<'static, ()> {
         let sleep = self.0.clock.sleep(duration);
-        let world = Arc::clone(&self.0);
+        let cluster = Arc::clone(&self.0);
         Box::pin(async move {
-            if duration <= LONGEST_BACKOFF {
-                world.pass(Step::ChooseTarget).await;
+            if duration <= MAX_BACKOFF {
+                cluster.reach(Step::ChooseTarget).await;
             }
             sleep.await;
         })
     }
 }
 
-/// One run of a request at a target.
+/// Execution of a request on a target.
 pub struct Execution {
     pub body: Vec<u8>,
-    /// Position of the send among those of its caller.
+    /// Index of the send among those of its caller.
     pub send: usize,
 }
 
-/// An external fault whose step waits for [`World::release`].
+/// Step that waits for [`FakeCluster::release`], with the external fault to inject meanwhile.
 #[derive(Clone, Copy, Debug)]
-pub struct Reached {
+pub struct WaitingStep {
     pub send: usize,
     pub step: Step,
     pub fault: Fault,
     pub ticket: usize,
 }
 
-impl World {
+impl FakeCluster {
     pub fn new(now: Timestamp, plan: &[(Step, Fault)]) -> Arc<Self> {
-        let state = WorldState {
+        let state = FakeClusterState {
             plan: plan.iter().copied().collect(),
-            ..WorldState::default()
+            ..FakeClusterState::default()
         };
         Arc::new(Self {
             clock: PausedClock::new(now),
@@ -135,8 +136,9 @@
         Some(fault)
     }
 
-    /// Passes a step: waits for an external fault and gives one that the fake has to carry out.
-    pub async fn pass(&self, step: Step) -> Option<Fault> {
+    /// Marks a step as reached. Waits while the scenario injects an external fault, and returns a
+    /// fault that the fake must inject.
+    pub async fn reach(&self, step: Step) -> Option<Fault> {
         if self.state.lock().is_scheduled {
             return self.wait_for_release(step, Fault::Slow).await;
         }
@@ -153,7 +155,7 @@
             let ticket = state.released.len();
             let send = state.polled_send;
             state.released.push(None);
-            state.reached.push_back(Reached {
+            state.waiting_steps.push_back(WaitingStep {
                 send,
                 step,
                 fault,
@@ -177,7 +179,7 @@
     }
 
     async fn send_command(&self, command: Command) -> Result<Reply, LedgerUnavailable> {
-        let at = {
+        let index = {
             let mut state = self.state.lock();
             state.commands.push(SentCommand {
                 command,
@@ -186,33 +188,35 @@
             });
             state.commands.len() - 1
         };
-        poll_fn(|_| match &self.state.lock().commands[at].delivered {
+        poll_fn(|_| match &self.state.lock().commands[index].delivered {
             Some(reply) => Poll::Ready(reply.clone()),
             None => Poll::Pending,
         })
         .await
     }
 
-    /// Lets a command take effect, or once more, as a command is sent again without a reply.
-    pub fn apply_command(&self, at: usize) {
+    /// Applies a command. Repeated calls apply it again, as happens when a command without a reply
+    /// is sent again.
+    pub fn apply_command(&self, index: usize) {
         let now = self.clock.now();
         let state = &mut *self.state.lock();
-        let sent = &mut state.commands[at];
+        let sent = &mut state.commands[index];
         let reply = state.ledger.apply(now, sent.command.clone());
         sent.reply.get_or_insert(reply);
     }
 
-    /// Delivers the reply to a command that took effect.
-    pub fn deliver_reply(&self, at: usize) {
-        let sent = &mut self.state.lock().commands[at];
+    /// Delivers the reply to a command that was applied.
+    pub fn deliver_reply(&self, index: usize) {
+        let sent = &mut self.state.lock().commands[index];
         if let (Some(reply), None) = (&sent.reply, &sent.delivered) {
             sent.delivered = Some(Ok(reply.clone()));
         }
     }
 
-    /// Tells the entry that there is no reply; the command may take effect before or afterwards.
-    pub fn lose_reply(&self, at: usize) {
-        let sent = &mut self.state.lock().commands[at];
+    /// Reports to the entry that there is no reply; the command may be applied before or
+    /// afterwards.
+    pub fn lose_reply(&self, index: usize) {
+        let sent = &mut self.state.lock().commands[index];
         sent.delivered.get_or_insert_with(no_reply);
     }
 }
@@ -223,7 +227,7 @@
     })
 }
 
-impl LedgerClient for World {
+impl LedgerClient for FakeCluster {
     fn apply(&self, command: Command) -> BoxFuture<'_, Result<Reply, LedgerUnavailable>> {
         Box::pin(async move {
             if self.state.lock().is_scheduled {
@@ -265,21 +269,21 @@
     }
 }
 
-impl World {
-    /// The exchange without its deadline. The request counts as run from its first byte on, which
-    /// is the worst case for a request that must run at most once.
+impl FakeCluster {
+    /// Exchange without its deadline. The request counts as run as soon as its first byte is sent,
+    /// which is the worst case for a request that must run at most once.
     async fn run_exchange(
         &self,
         address: SocketAddr,
         req: &Request,
         deadline: Timestamp,
     ) -> ExchangeResult {
-        match self.pass(Step::Connect).await {
+        match self.reach(Step::Connect).await {
             Some(Fault::TargetCrashes) => {
                 self.state.lock().crashed.insert(address);
             }
             Some(Fault::CutOneWay) => return ExchangeResult::NotSent(NotSent::ConnectTimeout),
-            Some(Fault::Shed) => return ExchangeResult::Answered(shed()),
+            Some(Fault::Shed) => return ExchangeResult::Answered(shed_response()),
             _ => {}
         }
         if self.state.lock().crashed.contains(&address) {
@@ -291,20 +295,20 @@
         match self.next_fault() {
             Some((Step::Write, Fault::Shed)) => {
                 self.take_fault(Step::Write);
-                return ExchangeResult::Answered(shed());
+                return ExchangeResult::Answered(shed_response());
             }
-            // Only a request that every target shed waits to choose again.
-            Some((Step::ChooseTarget, _)) => return ExchangeResult::Answered(shed()),
+            // An entry reaches `ChooseTarget` again only if every target sheds the request.
+            Some((Step::ChooseTarget, _)) => return ExchangeResult::Answered(shed_response()),
             _ => {}
         }
         if self.clock.now() < self.state.lock().shed_until {
-            return ExchangeResult::Answered(shed());
+            return ExchangeResult::Answered(shed_response());
         }
         let run = self.execute(req);
         let is_poison = self.state.lock().crashing_bodies.contains(&*req.body);
         for step in [Step::Write, Step::Wait, Step::ReadAnswer] {
             let answer_started = step == Step::ReadAnswer;
-            let error = match self.pass(step).await {
+            let error = match self.reach(step).await {
                 Some(Fault::TargetCrashes) => {
                     self.state.lock().crashed.insert(address);
                     FramingError::ClosedInHead
@@ -341,7 +345,7 @@
         self.state.lock().plan.front().copied()
     }
 
-    /// Runs the request; gives the number of its run.
+    /// Runs the request; returns the number of runs so far.
     fn execute(&self, req: &Request) -> usize {
         let send = req.headers.text(SEND_HEADER).unwrap().parse().unwrap();
         let body = req.body.to_vec();
@@ -351,12 +355,12 @@
     }
 }
 
-/// The body of the answer to a request with `body` by its run number `run`.
+/// Body of the answer of run number `run` to a request with `body`.
 pub fn answer_to(body: &[u8], run: usize) -> Vec<u8> {
     format!("answer to {} of run {run}", body.escape_ascii()).into_bytes()
 }
 
-fn shed() -> Response {
+fn shed_response() -> Response {
     let mut response = Response::new(503);
     response
         .headers
@@ -364,7 +368,7 @@
     response
 }
 
-impl TargetClient for World {
+impl TargetClient for FakeCluster {
     fn exchange<'a>(
         &'a self,
         address: SocketAddr,
@@ -381,7 +385,7 @@
                 state.late_exchanges += usize::from(now >= deadline);
                 state.executions.len()
             };
-            let late = async {
+            let timeout = async {
                 self.clock.sleep(deadline.since(now)).await;
                 if self.state.lock().executions.len() == executions_before {
                     return ExchangeResult::NotSent(NotSent::Deadline);
@@ -391,7 +395,7 @@
                     answer_started: false,
                 }
             };
-            let result = self.run_exchange(address, req, deadline).or(late).await;
+            let result = self.run_exchange(address, req, deadline).or(timeout).await;
             Exchange {
                 result,
                 reused: false,
@@ -402,7 +406,7 @@
     fn refuses_connections(&self, address: SocketAddr) -> BoxFuture<'_, bool> {
         Box::pin(poll_fn(move |_| {
             let state = self.state.lock();
-            if state.crash_check_is_held {
+            if state.crash_check_is_blocked {
                 return Poll::Pending;
             }
             Poll::Ready(state.crashed.contains(&address))
@@ -410,7 +414,7 @@
     }
 }
 
-impl CrashReporter for World {
+impl CrashReporter for FakeCluster {
     fn report(&self, report: CrashReport) -> BoxFuture<'_, ()> {
         Box::pin(async move {
             let entries = self.state.lock().entries.clone();
--- a/crates/auburnbridge_entry/tests/request_path/fault.rs
+++ b/crates/auburnbridge_entry/tests/request_path/fault.rs
@@ -1,8 +1,8 @@
-//! The steps of the request path and the faults that can happen at them.
+//! Steps of the request path and faults that can occur at them.
 
 use strum::{Display, EnumIter};
 
-/// A step of the request path.
+/// Step of the request path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Step {
@@ -22,7 +22,7 @@
 }
 
 impl Step {
-    /// Whether a target takes part in the step.
+    /// Whether a target is involved in the step.
     pub fn has_target(self) -> bool {
         matches!(
             self,
@@ -31,29 +31,30 @@
     }
 }
 
-/// A fault at one step.
+/// Fault at a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Fault {
-    /// The entry dies; the caller resends through the other one.
+    /// The entry's process is killed; the caller resends through the other entry.
     Killed,
-    /// The entry stands still until the deadline is over; the caller resends meanwhile.
+    /// The entry is suspended until after the deadline; the caller resends meanwhile.
     Frozen,
-    /// The ledger applies the command, and its reply is lost.
+    /// The ledger applies the command, but its reply is lost.
     LedgerReplyLost,
-    /// The ledger refuses this command and all that follow.
+    /// The ledger has no quorum for this command and all later ones.
     NoQuorumBefore,
-    /// The ledger applies the command, gives no reply and refuses all that follow.
+    /// The ledger applies the command but sends no reply, and has no quorum for all later ones.
     NoQuorumAfter,
-    /// What is sent arrives, and nothing comes back.
+    /// One-way network partition: messages arrive, but no replies return.
     CutOneWay,
-    /// A ledger command arrives after the caller's resend; a target takes half of the timeout.
+    /// At a ledger step, the command arrives after the caller's resend; at other steps, the clock
+    /// advances by more than half of the timeout.
     Slow,
-    /// The target closes in the middle of its answer.
+    /// The target closes the connection in the middle of its answer.
     HalfAnswer,
     /// The target has no free slot.
     Shed,
-    /// The target's process ends.
+    /// The target's process crashes.
     TargetCrashes,
     /// Every target announces that it leaves, and a new one arrives.
     TargetLeaves,
@@ -64,7 +65,7 @@
 }
 
 impl Fault {
-    /// Whether the scenario carries the fault out, rather than the fake that reached the step.
+    /// Whether the scenario injects the fault, rather than the fake that reached the step.
     pub fn is_external(self) -> bool {
         matches!(
             self,
@@ -78,7 +79,8 @@
     }
 }
 
-/// Why a fault can't happen at a step, or has no effect of its own there; `None` if it is run.
+/// Reason why a fault is not run at a step: it cannot occur there, or it has the same effect as
+/// another combination. `None` if it is run.
 pub fn reason_not_run(step: Step, fault: Fault) -> Option<&'static str> {
     match step {
         Step::ReadRequest => return Some("auburnbridge_caller hands over whole requests only"),
--- a/crates/auburnbridge_entry/tests/request_path/fault_matrix.rs
+++ b/crates/auburnbridge_entry/tests/request_path/fault_matrix.rs
@@ -1,4 +1,4 @@
-//! Guards the promises to callers against every fault at every step of the request path.
+//! Checks the guarantees to callers under every fault at every step of the request path.
 
 use std::fmt::Write;
 
@@ -11,14 +11,14 @@
     Step::iter().flat_map(|step| Fault::iter().map(move |fault| (step, fault)))
 }
 
-/// Idempotent requests ask the ledger for nothing.
+/// Idempotent requests do not use the ledger.
 fn is_run(caller: Caller, step: Step, fault: Fault) -> bool {
     let uses_ledger = matches!(step, Step::LedgerGrant | Step::StoreAnswer);
     reason_not_run(step, fault).is_none() && !(uses_ledger && caller == Caller::Idempotent)
 }
 
-/// Guards against a run of a keyed request too many, a false `not-run`, a wrong or partial answer,
-/// a late dispatch and a leaked in-flight count, and shows each change of an outcome.
+/// Guards against a second run of a keyed request, a false `not-run`, a wrong or partial answer, a
+/// dispatch after the deadline and a leaked in-flight count. The snapshot shows changed outcomes.
 #[test]
 fn every_fault_at_every_step() {
     let mut page = String::new();
@@ -30,7 +30,7 @@
             if let Err(violation) = scenario.check() {
                 violations.push(format!("{caller} {step} {fault}: {violation}"));
             }
-            let is_reached = scenario.world.state.lock().plan.is_empty();
+            let is_reached = scenario.cluster.state.lock().plan.is_empty();
             let reached = if is_reached { "" } else { " (not reached)" };
             writeln!(page, "{step} x {fault}: {}{reached}", scenario.summary()).unwrap();
         }
@@ -40,7 +40,7 @@
     insta::assert_snapshot!(page);
 }
 
-/// Guards against a cell of the matrix that is neither run nor listed with its reason.
+/// Guards against a pair of step and fault that is neither run nor listed with a reason.
 #[test]
 fn every_cell_is_run_or_listed() {
     let mut page = String::new();
@@ -53,17 +53,18 @@
             .filter(|caller| is_run(*caller, step, fault))
             .any(|caller| {
                 let scenario = Scenario::new(caller, &[(step, fault)]).run();
-                scenario.world.state.lock().plan.is_empty()
+                scenario.cluster.state.lock().plan.is_empty()
             });
         assert!(
             is_reached,
-            "{step} x {fault} is to be run, and no request reaches it"
+            "no request reaches the fault {fault} at the step {step}"
         );
     }
     insta::assert_snapshot!(page);
 }
 
-/// Guards the same promises against two faults, one after the other or on the resend.
+/// Guards against violations of the same guarantees under two faults, one after the other in the
+/// same send or the second one in a resend.
 #[test]
 fn every_pair_of_faults() {
     let mut violations = Vec::new();
--- a/crates/auburnbridge_entry/tests/request_path/headers.rs
+++ b/crates/auburnbridge_entry/tests/request_path/headers.rs
@@ -1,4 +1,4 @@
-//! What an entry reads from the headers of a caller's request.
+//! Parsing of the headers of a caller's request.
 
 use std::fmt::Write;
 
@@ -31,8 +31,8 @@
     }
 }
 
-/// Guards against a malformed header that is taken for an absent one, a deadline beyond the
-/// route's, and a `not-run` for a request that may resend one that ran.
+/// Guards against a malformed header that is treated as absent, a deadline later than that of the
+/// route, and the outcome `not-run` for a request that may be a resend of one that ran.
 #[test]
 fn headers_are_read_or_refused() {
     const PREVIOUS: &str = PREVIOUS_ATTEMPTS_HEADER;
--- a/crates/auburnbridge_entry/tests/request_path/interleavings.rs
+++ b/crates/auburnbridge_entry/tests/request_path/interleavings.rs
@@ -1,23 +1,25 @@
-//! Two entries, one caller and its resends under random schedules.
+//! Random schedules of two entries, one caller and its resends.
 //!
-//! Each step of a request waits until the schedule lets it go on. Ledger commands travel on their
-//! own: one that its entry gave up, or whose entry was killed, may still take effect, and twice.
+//! Each step of a request waits until the schedule releases it. Ledger commands are delivered
+//! independently: a command that its entry gave up, or whose entry was killed, may still be
+//! applied, even twice.
 
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::RngSeed;
 
-use crate::fakes::Reached;
+use crate::fakes::WaitingStep;
 use crate::fault::{Fault, Step};
 use crate::scenario::{Caller, ENTRIES, Scenario, member, stock};
 use auburnbridge_types::{Clock, Millis};
 
-/// One move of the schedule; the numbers pick among what there is at that time.
+/// Action of a schedule. The numbers select among the sends, steps or commands that exist at that
+/// time, modulo their count.
 #[derive(Clone, Copy, Debug)]
 enum Action {
     Send(usize),
     Poll(usize),
-    Pass(usize),
+    Release(usize),
     Fail(usize, Fault),
     ApplyCommand(usize),
     DeliverReply(usize),
@@ -40,8 +42,8 @@
     prop_oneof![
         3 => any().prop_map(Action::Send),
         80 => any().prop_map(Action::Poll),
-        40 => any().prop_map(Action::Pass),
-        12 => (any(), fault).prop_map(|(at, fault)| Action::Fail(at, fault)),
+        40 => any().prop_map(Action::Release),
+        12 => (any(), fault).prop_map(|(index, fault)| Action::Fail(index, fault)),
         40 => any().prop_map(Action::ApplyCommand),
         40 => any().prop_map(Action::DeliverReply),
         3 => any().prop_map(Action::LoseReply),
@@ -53,7 +55,7 @@
     ]
 }
 
-/// What the schedules are to come to.
+/// Parts of summaries that the random schedules must produce.
 const OUTCOMES: [&str; 11] = [
     "runs 0",
     "runs 1",
@@ -73,87 +75,90 @@
 }
 
 fn perform(scenario: &mut Scenario, action: Action) {
-    let world = &scenario.world;
-    let commands = world.state.lock().commands.len();
+    let cluster = &scenario.cluster;
+    let commands = cluster.state.lock().commands.len();
     match action {
         Action::Send(entry) => scenario.send(entry % ENTRIES),
         Action::Poll(number) => {
-            if let Some(at) = pick(scenario.sends(), number) {
-                scenario.poll_send(at);
+            if let Some(index) = pick(scenario.sends(), number) {
+                scenario.poll_send(index);
             }
         }
-        Action::Pass(number) => release(scenario, number, None),
+        Action::Release(number) => release(scenario, number, None),
         Action::Fail(number, fault) => release(scenario, number, Some(fault)),
         Action::ApplyCommand(number) => {
-            if let Some(at) = pick(commands, number) {
-                world.apply_command(at);
+            if let Some(index) = pick(commands, number) {
+                cluster.apply_command(index);
             }
         }
         Action::DeliverReply(number) => {
-            if let Some(at) = pick(commands, number) {
-                world.deliver_reply(at);
+            if let Some(index) = pick(commands, number) {
+                cluster.deliver_reply(index);
             }
         }
         Action::LoseReply(number) => {
-            if let Some(at) = pick(commands, number) {
-                world.lose_reply(at);
+            if let Some(index) = pick(commands, number) {
+                cluster.lose_reply(index);
             }
         }
-        Action::Advance(millis) => world.clock.advance(Millis(millis)),
+        Action::Advance(millis) => cluster.clock.advance(Millis(millis)),
         Action::ShedFor(millis) => {
-            let until = world.clock.now().after(Millis(millis));
-            world.state.lock().shed_until = until;
+            let until = cluster.clock.now().after(Millis(millis));
+            cluster.state.lock().shed_until = until;
         }
         Action::Kill(entry) => scenario.kill(entry % ENTRIES),
         Action::Disconnect(number) => {
-            if let Some(at) = pick(scenario.sends(), number) {
-                scenario.disconnect(at);
+            if let Some(index) = pick(scenario.sends(), number) {
+                scenario.disconnect(index);
             }
         }
         Action::ChangeTargets(count) => {
             let targets: Vec<_> = (4..4 + count).map(member).collect();
             for entry in &scenario.entries {
-                entry.fleets().update(world.clock.now(), &stock(), &targets);
+                entry
+                    .fleets()
+                    .update(cluster.clock.now(), &stock(), &targets);
             }
         }
     }
 }
 
 fn release(scenario: &Scenario, number: usize, fault: Option<Fault>) {
-    let mut state = scenario.world.state.lock();
-    let Some(at) = pick(state.reached.len(), number) else {
+    let mut state = scenario.cluster.state.lock();
+    let Some(index) = pick(state.waiting_steps.len(), number) else {
         return;
     };
-    let reached: Reached = state.reached[at];
+    let waiting: WaitingStep = state.waiting_steps[index];
     let can_happen = match fault {
         None => true,
-        // The fake target decides before it runs the request whether it sheds it.
-        Some(Fault::Shed) => reached.step == Step::Connect,
-        Some(Fault::HalfAnswer) => matches!(reached.step, Step::Wait | Step::ReadAnswer),
-        Some(_) => reached.step.has_target(),
+        // The fake target sheds a request only before running it.
+        Some(Fault::Shed) => waiting.step == Step::Connect,
+        Some(Fault::HalfAnswer) => matches!(waiting.step, Step::Wait | Step::ReadAnswer),
+        Some(_) => waiting.step.has_target(),
     };
     if !can_happen {
         return;
     }
-    state.reached.remove(at);
+    state.waiting_steps.remove(index);
     drop(state);
-    scenario.world.release_with(reached.ticket, fault);
+    scenario.cluster.release_with(waiting.ticket, fault);
 }
 
-/// Lets everything that was held go on, in the order in which it was held.
-fn run_to_the_end(scenario: &mut Scenario) {
-    scenario.world.state.lock().is_scheduled = false;
-    let commands = scenario.world.state.lock().commands.len();
-    for at in 0..commands {
-        scenario.world.apply_command(at);
-        scenario.world.deliver_reply(at);
+/// Applies all commands and releases all waiting steps, in the order in which they were sent or
+/// reached, and runs the scenario to completion.
+fn run_to_completion(scenario: &mut Scenario) {
+    scenario.cluster.state.lock().is_scheduled = false;
+    let commands = scenario.cluster.state.lock().commands.len();
+    for index in 0..commands {
+        scenario.cluster.apply_command(index);
+        scenario.cluster.deliver_reply(index);
     }
-    while !scenario.world.state.lock().reached.is_empty() {
+    while !scenario.cluster.state.lock().waiting_steps.is_empty() {
         release(scenario, 0, None);
     }
     scenario.run_until_done();
-    for at in 0..commands {
-        scenario.world.apply_command(at);
+    for index in 0..commands {
+        scenario.cluster.apply_command(index);
     }
 }
 
@@ -165,10 +170,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against a schedule of two entries that runs a keyed request twice, tells a false
-    /// `not-run`, gives a wrong answer, dispatches late or leaks an in-flight count.
+    /// Guards against an interleaving of two entries that runs a keyed request twice, returns a
+    /// false `not-run` or a wrong answer, dispatches after the deadline or leaks an in-flight
+    /// count.
     #[test]
-    fn promises_hold_under_random_schedules(
+    fn guarantees_hold_under_random_schedules(
         seed: u64,
         caller in prop_oneof![
             3 => Just(Caller::Numbered),
@@ -182,14 +188,15 @@
         for action in &actions {
             perform(&mut scenario, *action);
         }
-        run_to_the_end(&mut scenario);
+        run_to_completion(&mut scenario);
         let checked = scenario.check();
         prop_assert!(checked.is_ok(), "{checked:?}; {}", scenario.summary());
     }
 }
 
-/// Guards against a schedule that the tests above never come to, such as a run that is answered,
-/// a `not-run` after a withdrawal or a resend through the other entry.
+/// Guards against random schedules that never reach an outcome, such as an answered run, a
+/// `not-run` after a withdrawal or a resend through the other entry, so that the test above would
+/// not cover it.
 #[test]
 fn random_schedules_reach_all_outcomes() {
     let mut runner = proptest::test_runner::TestRunner::new(ProptestConfig {
@@ -198,7 +205,7 @@
         ..ProptestConfig::default()
     });
     let strategy = proptest::collection::vec(action(), 50..300);
-    let mut told = String::new();
+    let mut summaries = String::new();
     for seed in 0..300 {
         let actions = strategy.new_tree(&mut runner).unwrap().current();
         let mut scenario = Scenario::scheduled(Caller::Numbered, seed);
@@ -206,34 +213,40 @@
         for action in actions {
             perform(&mut scenario, action);
         }
-        run_to_the_end(&mut scenario);
-        told.push_str(&scenario.summary());
-        told.push('\n');
+        run_to_completion(&mut scenario);
+        summaries.push_str(&scenario.summary());
+        summaries.push('\n');
     }
     let missing: Vec<&str> = OUTCOMES
         .iter()
         .copied()
-        .filter(|outcome| !told.contains(outcome))
+        .filter(|outcome| !summaries.contains(outcome))
         .collect();
-    assert!(missing.is_empty(), "no schedule ends with {missing:?}");
+    assert!(missing.is_empty(), "no schedule produced {missing:?}");
 }
 
-/// Runs a send until it waits for the ledger or the clock.
-fn run_send(scenario: &mut Scenario, at: usize) {
+/// Polls a send until it waits for the ledger or the clock.
+fn run_send(scenario: &mut Scenario, index: usize) {
     const STEPS: usize = 8;
     for _ in 0..STEPS {
-        scenario.poll_send(at);
-        let reached: Vec<Reached> = scenario.world.state.lock().reached.drain(..).collect();
-        for step in reached {
-            scenario.world.release(step.ticket);
+        scenario.poll_send(index);
+        let waiting: Vec<WaitingStep> = scenario
+            .cluster
+            .state
+            .lock()
+            .waiting_steps
+            .drain(..)
+            .collect();
+        for step in waiting {
+            scenario.cluster.release(step.ticket);
         }
     }
 }
 
-/// Guards against a `not-run` for a resend that withdrew, after which the delayed Grant of the first
-/// send takes effect and runs the request.
+/// Guards against a `not-run` to a resend that withdrew its grant, after which the delayed Grant
+/// command of the first send is applied and the request runs.
 #[test]
-fn delayed_grant_after_a_withdrawal() {
+fn delayed_grant_after_a_withdrawal_does_not_contradict_not_run() {
     const GRANT: usize = 0;
     const RESEND_GRANT: usize = 1;
     const WITHDRAWAL: usize = 2;
@@ -248,24 +261,24 @@
         ),
     ] {
         let mut scenario = Scenario::scheduled(caller, 1);
-        let world = std::sync::Arc::clone(&scenario.world);
-        world.state.lock().shed_until = world.clock.now().after(Millis(1_000));
+        let cluster = std::sync::Arc::clone(&scenario.cluster);
+        cluster.state.lock().shed_until = cluster.clock.now().after(Millis(1_000));
         scenario.send(0);
         run_send(&mut scenario, 0);
         scenario.send(1);
         run_send(&mut scenario, 1);
-        world.apply_command(RESEND_GRANT);
-        world.deliver_reply(RESEND_GRANT);
-        while world.state.lock().commands.len() <= WITHDRAWAL {
+        cluster.apply_command(RESEND_GRANT);
+        cluster.deliver_reply(RESEND_GRANT);
+        while cluster.state.lock().commands.len() <= WITHDRAWAL {
             run_send(&mut scenario, 1);
-            world.clock.advance(Millis(5));
+            cluster.clock.advance(Millis(5));
         }
-        world.apply_command(WITHDRAWAL);
-        world.deliver_reply(WITHDRAWAL);
-        world.state.lock().shed_until = world.clock.now();
-        world.apply_command(GRANT);
-        world.deliver_reply(GRANT);
-        world.state.lock().is_scheduled = false;
+        cluster.apply_command(WITHDRAWAL);
+        cluster.deliver_reply(WITHDRAWAL);
+        cluster.state.lock().shed_until = cluster.clock.now();
+        cluster.apply_command(GRANT);
+        cluster.deliver_reply(GRANT);
+        cluster.state.lock().is_scheduled = false;
         scenario.run_until_done();
         assert_eq!(scenario.check(), Ok(()), "{caller}");
         assert_eq!(scenario.summary(), summary, "{caller}");
--- a/crates/auburnbridge_entry/tests/request_path/main.rs
+++ b/crates/auburnbridge_entry/tests/request_path/main.rs
@@ -1,4 +1,4 @@
-//! The request path of an entry over fakes of the ledger, the targets and the other entries.
+//! Request path of an entry with fakes of the ledger, the targets and the other entries.
 
 mod crashes_and_retries;
 mod fakes;
--- a/crates/auburnbridge_entry/tests/request_path/scenario.rs
+++ b/crates/auburnbridge_entry/tests/request_path/scenario.rs
@@ -1,4 +1,4 @@
-//! A caller that sends one request through two entries while planned faults happen.
+//! Scenario of a caller that sends one request through two entries while planned faults occur.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -21,23 +21,24 @@
 use parking_lot::Mutex;
 use strum::{Display, EnumIter};
 
-use crate::fakes::{EntryClock, Reached, SEND_HEADER, World, answer_to};
+use crate::fakes::{EntryClock, FakeCluster, SEND_HEADER, WaitingStep, answer_to};
 use crate::fault::{Fault, Step};
 
 pub const START: Timestamp = Timestamp(1_700_000_000_000);
 pub const TIMEOUT: Millis = Millis(2_000);
-/// Beyond the request's deadline and the time for which its grant counts as in progress after it.
-const PAST_DEADLINE: Millis = Millis(4_500);
-const SHORT_WAIT: Millis = Millis(200);
-const SLOW: Millis = Millis(1_200);
+/// Longer than the timeout of the request plus the grace period in which its grant still counts as
+/// in progress.
+const FREEZE_TIME: Millis = Millis(4_500);
+const SHORT_TIMEOUT: Millis = Millis(200);
+const SLOW_DELAY: Millis = Millis(1_200);
 const TICK: Millis = Millis(50);
-/// Clock steps after which a scenario without an answer has failed.
+/// Number of clock ticks after which a scenario without an answer fails.
 const TICK_LIMIT: usize = 400;
-/// Polls of each future after which nothing moves without the clock.
-const POLLS: usize = 4;
-/// Sends of one caller.
-const SENDS: usize = 3;
-const SCHEDULED_SENDS: usize = 5;
+/// Number of polls after which a future makes no progress unless the clock advances.
+const POLLS_UNTIL_IDLE: usize = 4;
+/// Maximum number of sends of one caller.
+const MAX_SENDS: usize = 3;
+const MAX_SCHEDULED_SENDS: usize = 5;
 pub const ENTRIES: usize = 2;
 const RULES: &str = "\
 service stock slots-floor 1 slots-per-target 3 ejection careful # asked by the tests
@@ -47,22 +48,22 @@
 account default limit 5000/s burst 5000 # asked by the tests
 ";
 
-/// What the caller sends.
+/// Kind of request that the caller sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Caller {
-    /// A keyed request, with the number of the earlier sends.
+    /// Keyed request with the number of earlier sends.
     Numbered,
-    /// A keyed request.
+    /// Keyed request without that number.
     Unnumbered,
-    /// An idempotent request.
+    /// Idempotent request.
     Idempotent,
 }
 
-/// What the caller of one send knows of its end.
+/// Result of a send as its caller observes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
-    Nothing,
+pub enum SendResult {
+    NoResponse,
     Response(Response),
 }
 
@@ -71,51 +72,54 @@
     /// `None` once the send has ended.
     future: Option<Pin<Box<dyn Future<Output = Option<Response>>>>>,
     disconnect: Option<DisconnectSignal>,
-    told: Option<Told>,
+    result: Option<SendResult>,
 }
 
-/// TaskSpawner of one entry that outlive their request; the scenario polls them beside the sends.
+/// Spawner that queues tasks of an entry; the scenario polls them together with the sends.
 #[derive(Default)]
-pub struct EntryTasks {
+pub struct QueueingSpawner {
     started: Mutex<Vec<BoxFuture<'static, ()>>>,
 }
 
-impl TaskSpawner for EntryTasks {
+impl TaskSpawner for QueueingSpawner {
     fn spawn(&self, task: BoxFuture<'static, ()>) {
         self.started.lock().push(task);
     }
 }
 
-/// Runs each task to its end at once, for tests in which nothing holds it up.
-pub struct ImmediateTasks;
+/// Spawner that runs each task to completion at once, for tests in which no task has to wait.
+pub struct ImmediateSpawner;
 
-impl TaskSpawner for ImmediateTasks {
+impl TaskSpawner for ImmediateSpawner {
     fn spawn(&self, mut task: BoxFuture<'static, ()>) {
         let mut cx = Context::from_waker(Waker::noop());
-        assert!(task.as_mut().poll(&mut cx).is_ready(), "the task waits");
+        assert!(
+            task.as_mut().poll(&mut cx).is_ready(),
+            "the task is pending"
+        );
     }
 }
 
-/// A task with the send that started it.
+/// Task with the send that started it.
 struct RunningTask {
     send: usize,
     future: BoxFuture<'static, ()>,
 }
 
-/// The run of one request.
+/// Run of one request and its resends.
 pub struct Scenario {
-    pub world: Arc<World>,
+    pub cluster: Arc<FakeCluster>,
     pub entries: Vec<Arc<Entry>>,
-    tasks: Vec<Arc<EntryTasks>>,
+    tasks: Vec<Arc<QueueingSpawner>>,
     running_tasks: Vec<RunningTask>,
     caller: Caller,
     body: Vec<u8>,
     key: IdempotencyKey,
     sends: Vec<SendState>,
     frozen: Vec<usize>,
-    most_sends: usize,
-    /// How long the caller waits for each send, in turn.
-    waits: Vec<Millis>,
+    max_sends: usize,
+    /// Times that the caller waits for its sends, used in rotation.
+    timeouts: Vec<Millis>,
 }
 
 pub fn rules() -> Arc<Rules> {
@@ -139,20 +143,20 @@
 }
 
 pub fn start_entry(
-    world: &Arc<World>,
+    cluster: &Arc<FakeCluster>,
     targets: &[Member],
     tasks: Arc<dyn TaskSpawner>,
 ) -> Arc<Entry> {
     let seed = {
-        let mut state = world.state.lock();
+        let mut state = cluster.state.lock();
         state.entries_started += 1;
         state.seed + state.entries_started
     };
     let ports = Ports {
-        clock: Arc::new(EntryClock(Arc::clone(world))),
-        ledger: Arc::clone(world) as _,
-        targets: Arc::clone(world) as _,
-        crashes: Arc::clone(world) as _,
+        clock: Arc::new(EntryClock(Arc::clone(cluster))),
+        ledger: Arc::clone(cluster) as _,
+        targets: Arc::clone(cluster) as _,
+        crashes: Arc::clone(cluster) as _,
         tasks,
         metrics: Arc::new(Metrics::new(None).unwrap()),
         seed,
@@ -162,7 +166,7 @@
         data_centre: "north".parse().unwrap(),
     };
     let entry = Entry::new(location, Limits::default(), ports);
-    let now = world.clock.now();
+    let now = cluster.clock.now();
     let in_force = RulesInForce {
         revision: Revision(1),
         rules: rules(),
@@ -172,7 +176,7 @@
     Arc::new(entry)
 }
 
-/// Polls a future once, without a waker: the scenario polls until nothing moves.
+/// Polls a future once with a no-op waker; the scenario polls until no future makes progress.
 pub fn poll<T>(future: &mut Pin<Box<dyn Future<Output = T>>>) -> Option<T> {
     match future
         .as_mut()
@@ -184,35 +188,35 @@
 }
 
 impl Scenario {
-    /// A request with a resend for each send without a known outcome.
+    /// Creates a scenario in which the caller resends after each send without a known outcome.
     pub fn new(caller: Caller, plan: &[(Step, Fault)]) -> Self {
-        Self::over(World::new(START, plan), caller, SENDS)
+        Self::with_cluster(FakeCluster::new(START, plan), caller, MAX_SENDS)
     }
 
-    /// A request whose steps and resends a schedule decides about.
+    /// Creates a scenario in which a schedule controls the steps and resends of the request.
     pub fn scheduled(caller: Caller, seed: u64) -> Self {
-        let world = World::new(START, &[]);
+        let cluster = FakeCluster::new(START, &[]);
         {
-            let mut state = world.state.lock();
+            let mut state = cluster.state.lock();
             state.is_scheduled = true;
             state.seed = seed;
         }
-        let mut scenario = Self::over(world, caller, SCHEDULED_SENDS);
-        // A resend that gives up first may withdraw while an earlier send can still be granted.
-        scenario.waits.push(SHORT_WAIT);
+        let mut scenario = Self::with_cluster(cluster, caller, MAX_SCHEDULED_SENDS);
+        // A resend that times out first may withdraw while an earlier send can still get a grant.
+        scenario.timeouts.push(SHORT_TIMEOUT);
         scenario
     }
 
-    fn over(world: Arc<World>, caller: Caller, most_sends: usize) -> Self {
+    fn with_cluster(cluster: Arc<FakeCluster>, caller: Caller, max_sends: usize) -> Self {
         let targets = [member(1), member(2)];
-        let tasks: Vec<Arc<EntryTasks>> = (0..ENTRIES).map(|_| Arc::default()).collect();
+        let tasks: Vec<Arc<QueueingSpawner>> = (0..ENTRIES).map(|_| Arc::default()).collect();
         let entries: Vec<_> = tasks
             .iter()
-            .map(|tasks| start_entry(&world, &targets, Arc::clone(tasks) as _))
+            .map(|tasks| start_entry(&cluster, &targets, Arc::clone(tasks) as _))
             .collect();
-        world.state.lock().entries.clone_from(&entries);
+        cluster.state.lock().entries.clone_from(&entries);
         Self {
-            world,
+            cluster,
             entries,
             tasks,
             running_tasks: Vec::new(),
@@ -221,8 +225,8 @@
             key: IdempotencyKey::from_parts(START, [7; 10]),
             sends: Vec::new(),
             frozen: Vec::new(),
-            most_sends,
-            waits: vec![TIMEOUT],
+            max_sends,
+            timeouts: vec![TIMEOUT],
         }
     }
 
@@ -233,7 +237,7 @@
         };
         req.body = self.body.clone().into();
         req.headers.append(SEND_HEADER, send.to_string());
-        let wait = self.waits[send % self.waits.len()];
+        let wait = self.timeouts[send % self.timeouts.len()];
         req.headers.append(DEADLINE_HEADER, wait.0.to_string());
         if self.caller != Caller::Idempotent {
             req.headers.append(KEY_HEADER, self.key.to_string());
@@ -245,36 +249,36 @@
         req
     }
 
-    /// Sends the request through an entry, as often as the caller does at most.
+    /// Sends the request through an entry, unless the maximum number of sends is reached.
     pub fn send(&mut self, entry: usize) {
-        if self.sends.len() >= self.most_sends {
+        if self.sends.len() >= self.max_sends {
             return;
         }
         let req = self.request(self.sends.len());
         let (signal, disconnect) = Disconnect::new();
-        let world = Arc::clone(&self.world);
+        let cluster = Arc::clone(&self.cluster);
         let server = Arc::clone(&self.entries[entry]);
         let caller = SocketAddr::from(([127, 0, 0, 1], 9));
         let future = async move {
-            world.pass(Step::Accept).await;
+            cluster.reach(Step::Accept).await;
             let response = server.respond(req, caller, disconnect).await;
-            let cut = world.pass(Step::Reply).await;
+            let cut = cluster.reach(Step::Reply).await;
             (cut != Some(Fault::CutOneWay)).then_some(response)
         };
         self.sends.push(SendState {
             entry,
             future: Some(Box::pin(future)),
             disconnect: Some(signal),
-            told: None,
+            result: None,
         });
     }
 
-    /// Resends through the entry that the send did not go through.
+    /// Resends through the entry that the given send did not use.
     pub fn resend(&mut self, send: usize) {
         self.send(ENTRIES - 1 - self.sends[send].entry);
     }
 
-    /// Runs the request and its resends to their ends.
+    /// Sends the request and runs it and its resends to completion.
     pub fn run(mut self) -> Self {
         self.send(0);
         self.run_until_done();
@@ -284,25 +288,25 @@
     pub fn run_until_done(&mut self) {
         for _ in 0..TICK_LIMIT {
             self.run_until_idle();
-            let all_told = self.sends.iter().all(|send| send.future.is_none());
-            if all_told && self.running_tasks.is_empty() {
+            let all_completed = self.sends.iter().all(|send| send.future.is_none());
+            if all_completed && self.running_tasks.is_empty() {
                 return;
             }
-            self.world.clock.advance(TICK);
+            self.cluster.clock.advance(TICK);
         }
         panic!("a send got no answer in {TICK_LIMIT} ticks of {TICK}");
     }
 
-    /// Runs until only the clock can move anything.
+    /// Polls until no future makes progress unless the clock advances.
     pub fn run_until_idle(&mut self) {
         loop {
             let sends = self.sends.len();
-            for _ in 0..POLLS {
+            for _ in 0..POLLS_UNTIL_IDLE {
                 self.poll_sends();
             }
-            let reached = self.world.state.lock().reached.pop_front();
-            match reached {
-                Some(reached) => self.carry_out(reached),
+            let waiting = self.cluster.state.lock().waiting_steps.pop_front();
+            match waiting {
+                Some(waiting) => self.inject(waiting),
                 None if self.sends.len() == sends => return,
                 None => {}
             }
@@ -310,9 +314,9 @@
     }
 
     fn poll_sends(&mut self) {
-        for at in 0..self.sends.len() {
-            if !self.frozen.contains(&self.sends[at].entry) {
-                self.poll_send(at);
+        for index in 0..self.sends.len() {
+            if !self.frozen.contains(&self.sends[index].entry) {
+                self.poll_send(index);
             }
         }
         self.poll_tasks();
@@ -332,22 +336,22 @@
             if self.frozen.contains(&self.sends[task.send].entry) {
                 return true;
             }
-            self.world.state.lock().polled_send = task.send;
+            self.cluster.state.lock().polled_send = task.send;
             let mut cx = Context::from_waker(Waker::noop());
             task.future.as_mut().poll(&mut cx).is_pending()
         });
         self.running_tasks = running;
     }
 
-    pub fn poll_send(&mut self, at: usize) {
-        self.world.state.lock().polled_send = at;
-        let Some(future) = &mut self.sends[at].future else {
+    pub fn poll_send(&mut self, index: usize) {
+        self.cluster.state.lock().polled_send = index;
+        let Some(future) = &mut self.sends[index].future else {
             return;
         };
         if let Some(response) = poll(future) {
-            self.end(at, response);
+            self.finish_send(index, response);
         }
-        self.take_started_tasks(at);
+        self.take_started_tasks(index);
     }
 
     /// Number of sends so far.
@@ -356,37 +360,37 @@
     }
 
     /// Closes the caller's connection of a send.
-    pub fn disconnect(&mut self, at: usize) {
-        let send = &mut self.sends[at];
+    pub fn disconnect(&mut self, index: usize) {
+        let send = &mut self.sends[index];
         if let Some(signal) = send.disconnect.take() {
             signal.report();
         }
-        send.told.get_or_insert(Told::Nothing);
+        send.result.get_or_insert(SendResult::NoResponse);
     }
 
-    fn end(&mut self, at: usize, response: Option<Response>) {
-        self.world.state.lock().ledger_is_down = false;
-        let send = &mut self.sends[at];
+    fn finish_send(&mut self, index: usize, response: Option<Response>) {
+        self.cluster.state.lock().ledger_is_down = false;
+        let send = &mut self.sends[index];
         send.future = None;
-        send.told
-            .get_or_insert(response.map_or(Told::Nothing, Told::Response));
-        let is_known = self.sends.iter().any(|send| match &send.told {
-            Some(Told::Response(response)) => {
+        send.result
+            .get_or_insert(response.map_or(SendResult::NoResponse, SendResult::Response));
+        let is_known = self.sends.iter().any(|send| match &send.result {
+            Some(SendResult::Response(response)) => {
                 response.headers.text(OUTCOME_HEADER) != Some("unknown")
             }
-            Some(Told::Nothing) | None => false,
+            Some(SendResult::NoResponse) | None => false,
         });
-        let is_last = at + 1 == self.sends.len();
+        let is_last = index + 1 == self.sends.len();
         if is_last && !is_known {
-            self.resend(at);
+            self.resend(index);
         }
     }
 
-    /// Kills an entry with all its requests; another process takes its place.
+    /// Kills an entry with all its requests and starts a new process in its place.
     pub fn kill(&mut self, entry: usize) {
         for send in self.sends.iter_mut().filter(|send| send.entry == entry) {
             if send.future.take().is_some() {
-                send.told.get_or_insert(Told::Nothing);
+                send.result.get_or_insert(SendResult::NoResponse);
             }
         }
         let sends = &self.sends;
@@ -394,22 +398,22 @@
             .retain(|task| sends[task.send].entry != entry);
         self.tasks[entry] = Arc::default();
         let tasks = Arc::clone(&self.tasks[entry]);
-        self.entries[entry] = start_entry(&self.world, &[member(1), member(2)], tasks);
-        self.world.state.lock().entries.clone_from(&self.entries);
+        self.entries[entry] = start_entry(&self.cluster, &[member(1), member(2)], tasks);
+        self.cluster.state.lock().entries.clone_from(&self.entries);
     }
 
-    fn carry_out(&mut self, reached: Reached) {
-        let send = reached.send;
+    fn inject(&mut self, waiting: WaitingStep) {
+        let send = waiting.send;
         let entry = self.sends[send].entry;
-        let is_ledger = matches!(reached.step, Step::LedgerGrant | Step::StoreAnswer);
-        match reached.fault {
+        let is_ledger = matches!(waiting.step, Step::LedgerGrant | Step::StoreAnswer);
+        match waiting.fault {
             Fault::Killed => {
                 self.kill(entry);
                 self.resend(send);
             }
             Fault::Frozen => {
                 self.frozen.push(entry);
-                self.world.clock.advance(PAST_DEADLINE);
+                self.cluster.clock.advance(FREEZE_TIME);
                 self.resend(send);
                 self.run_until_idle();
                 self.frozen.retain(|frozen| *frozen != entry);
@@ -418,9 +422,9 @@
                 self.resend(send);
                 self.run_until_idle();
             }
-            Fault::Slow => self.world.clock.advance(SLOW),
+            Fault::Slow => self.cluster.clock.advance(SLOW_DELAY),
             Fault::TargetLeaves => {
-                let now = self.world.clock.now();
+                let now = self.cluster.clock.now();
                 for entry in &self.entries {
                     entry.fleets().update(now, &stock(), &[member(3)]);
                 }
@@ -430,14 +434,14 @@
                 self.resend(send);
             }
             Fault::ResendAtOnce => self.resend(send),
-            fault => unreachable!("{fault} is carried out by the fake that reaches it"),
+            fault => unreachable!("{fault} is injected by the fake that reaches it"),
         }
-        self.world.release(reached.ticket);
+        self.cluster.release(waiting.ticket);
     }
 
-    /// Checks what holds for every request whatever happens.
+    /// Checks the guarantees that hold for every request under all faults.
     pub fn check(&self) -> Result<(), String> {
-        let state = self.world.state.lock();
+        let state = self.cluster.state.lock();
         let runs = state.executions.len();
         if self.caller != Caller::Idempotent && runs > 1 {
             return Err(format!("a keyed request ran {runs} times"));
@@ -445,8 +449,8 @@
         if state.late_exchanges > 0 {
             return Err("a request was dispatched after its deadline".to_owned());
         }
-        for (at, send) in self.sends.iter().enumerate() {
-            let Some(Told::Response(response)) = &send.told else {
+        for (index, send) in self.sends.iter().enumerate() {
+            let Some(SendResult::Response(response)) = &send.result else {
                 continue;
             };
             match response.headers.text(OUTCOME_HEADER) {
@@ -454,17 +458,19 @@
                     let is_whole =
                         (1..=runs).any(|run| *response.body == *answer_to(&self.body, run));
                     if !is_whole {
-                        return Err(format!("send {at} got another answer than its own"));
+                        return Err(format!("send {index} got another answer than its own"));
                     }
                 }
                 Some("not-run") => {
-                    // A later send is the caller's own decision to run the request after all.
+                    // A later send may run: the caller then decided to run the request after all.
                     let ran = state.executions.iter().any(|run| match self.caller {
-                        Caller::Idempotent => run.send == at,
-                        Caller::Numbered | Caller::Unnumbered => run.send <= at,
+                        Caller::Idempotent => run.send == index,
+                        Caller::Numbered | Caller::Unnumbered => run.send <= index,
                     });
                     if ran {
-                        return Err(format!("send {at} was told not-run, and the request ran"));
+                        return Err(format!(
+                            "send {index} was told not-run, and the request ran"
+                        ));
                     }
                 }
                 Some(_) => {}
@@ -485,20 +491,20 @@
         Ok(())
     }
 
-    /// What each send was told, and the number of runs, in one line.
+    /// Number of runs and the result of each send, in one line.
     pub fn summary(&self) -> String {
-        let told: Vec<String> = self
+        let results: Vec<String> = self
             .sends
             .iter()
-            .map(|send| tell(send.told.as_ref()))
+            .map(|send| describe(send.result.as_ref()))
             .collect();
-        let runs = self.world.state.lock().executions.len();
-        format!("runs {runs}; told {}", told.join(", "))
+        let runs = self.cluster.state.lock().executions.len();
+        format!("runs {runs}; told {}", results.join(", "))
     }
 }
 
-fn tell(told: Option<&Told>) -> String {
-    let Some(Told::Response(response)) = told else {
+fn describe(result: Option<&SendResult>) -> String {
+    let Some(SendResult::Response(response)) = result else {
         return "nothing".to_owned();
     };
     let Some(outcome) = response.headers.text(OUTCOME_HEADER) else {
@@ -510,7 +516,7 @@
     format!("{} {kind} {outcome}", response.status)
 }
 
-/// Name of the error kind of a rejection.
+/// Error kind of a rejection.
 pub fn kind_of(response: &Response) -> String {
     let body: serde_json::Value = serde_json::from_slice(&response.body).unwrap();
     let kind = body["type"].as_str().unwrap();
