--- a/crates/auburnbridge_policy/src/balance/balancer.rs
+++ b/crates/auburnbridge_policy/src/balance/balancer.rs
@@ -1,4 +1,4 @@
-//! The targets of one service, and what is known about them.
+//! The targets of one service, with their load and the evidence against them.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -8,28 +8,28 @@
 
 use super::answer_times::AnswerTimes;
 use super::evidence::{Finding, Origin};
-use super::homes::{GatewayPlace, home_targets};
 use super::report::{LoadReport, ReportedFinding, TargetHash, TargetLoad};
-use super::target::{BalancedKey, BalancedMember, BalancedTarget, COLD_TIME};
+use super::subset::{GatewayPlace, gateway_subset};
+use super::target::{BalancedKey, BalancedMember, BalancedTarget, WARMUP_TIME};
 
-/// Time after which a gateway's report of its requests in flight no longer counts.
+/// Time after which a gateway's load report expires.
 const REPORT_LIFETIME: Millis = Millis(1_500);
-/// Resolution of the ages of proofs in reports.
-const PROOF_STEP_MS: u64 = 8;
-/// Share of the slots from which a service is crowded.
-const CROWDED_SHARE: f64 = 0.6;
-/// Targets of its own from which a gateway prefers them. With fewer, those that fail leave it too
-/// little, and all gateways do better to share all targets.
-const LEAST_HOMES: usize = 4;
+/// Resolution of [`TargetLoad::proof_age`], in milliseconds.
+const PROOF_AGE_STEP_MS: u64 = 8;
+/// Share of the slots in use from which a service counts as crowded.
+const CROWDED_SLOT_SHARE: f64 = 0.6;
+/// Smallest subset that a gateway prefers to other targets. In a smaller one, failing targets leave
+/// too little capacity, and all gateways do better by sharing all targets.
+const MIN_SUBSET_SIZE: usize = 4;
 
 /// Settings of a [`Balancer`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct BalancerOptions {
-    /// The gateway.
+    /// This gateway.
     pub own: GatewayPlace,
-    /// Share of the targets that get work even if they are suspected.
+    /// Share of the targets that receive requests even if they are suspected.
     pub floor_share: f64,
-    /// Number by which this gateway's times differ from those of others.
+    /// Seed by which this gateway's trial intervals differ from those of other gateways.
     pub seed: u64,
 }
 
@@ -38,22 +38,22 @@
 pub struct Pick {
     /// Handle for [`Balancer::finish`].
     pub key: BalancedKey,
-    /// Its name.
+    /// ID of the target.
     pub target: TargetId,
-    /// Where it accepts requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Number of its life.
+    /// Incarnation of the target process.
     pub incarnation: Incarnation,
-    /// Requests in flight on it from all gateways, with this one.
+    /// Requests in flight on it from all gateways, this request included.
     pub in_flight: u32,
     /// Evidence against it, in nats.
     pub suspicion: f64,
 }
 
-/// Counts of a service's targets, for logs and estimates.
+/// Totals over a service's targets, for logs and estimates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TargetSummary {
-    /// Targets without suspicion.
+    /// Targets that are neither suspected nor down.
     pub trusted: u32,
     /// Slots of the trusted targets.
     pub slots: u32,
@@ -61,21 +61,21 @@
     pub in_flight: u32,
 }
 
-/// The targets of one service.
+/// Selects targets of one service for requests of one gateway.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     pub(super) options: BalancerOptions,
     /// All gateways, this one included.
     gateways: Vec<GatewayPlace>,
-    /// Whether this gateway has enough targets of its own to send most work there.
-    pub(super) prefers_homes: bool,
+    /// Whether the subset of this gateway is large enough to be preferred.
+    pub(super) prefers_subset: bool,
     pub(super) targets: SlotMap<BalancedKey, BalancedTarget>,
     by_id: HashMap<TargetId, BalancedKey>,
     by_hash: HashMap<TargetHash, BalancedKey>,
-    /// Last report of each other gateway.
+    /// Latest report of each other gateway, with its time of receipt.
     reports: HashMap<VmId, (Timestamp, LoadReport)>,
     answer_times: AnswerTimes,
-    /// Findings that the other gateways have not been told yet.
+    /// Findings not yet reported to the other gateways.
     unreported: Vec<ReportedFinding>,
 }
 
@@ -84,7 +84,7 @@
     pub fn new(options: BalancerOptions) -> Self {
         Self {
             gateways: vec![options.own.clone()],
-            prefers_homes: false,
+            prefers_subset: false,
             options,
             targets: SlotMap::with_key(),
             by_id: HashMap::new(),
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Takes over the targets that take work; those that are not listed have left.
+    /// Replaces the set of targets that accept requests.
     pub fn set_members(&mut self, now: Timestamp, members: &[BalancedMember]) {
-        // A gateway that starts can't tell which targets are cold.
-        let cold_until = match self.by_id.len() {
+        // After its own start a gateway can't tell which targets are still warming up.
+        let warmup_until = match self.by_id.len() {
             0 => Timestamp(0),
-            _ => now.after(COLD_TIME),
+            _ => now.after(WARMUP_TIME),
         };
         let listed: HashSet<&TargetId> = members.iter().map(|member| &member.id).collect();
         self.by_id.retain(|id, key| {
@@ -113,7 +113,7 @@
         for member in members {
             match self.by_id.get(&member.id) {
                 None => {
-                    let target = BalancedTarget::new(member.clone(), cold_until);
+                    let target = BalancedTarget::new(member.clone(), warmup_until);
                     let key = self.targets.insert(target);
                     self.by_id.insert(member.id.clone(), key);
                 }
@@ -132,53 +132,53 @@
             .iter()
             .map(|(key, target)| (target.hash, key))
             .collect();
-        self.count_reports(now);
-        self.assign_homes();
+        self.recount_reported_load(now);
+        self.update_subset();
     }
 
-    /// Takes over the other gateways.
+    /// Replaces the set of other gateways.
     pub fn set_gateways(&mut self, others: &[GatewayPlace]) {
         let mut gateways = vec![self.options.own.clone()];
         gateways.extend(others.iter().cloned());
         self.gateways = gateways;
-        self.assign_homes();
+        self.update_subset();
     }
 
     /// Number of gateways, this one included.
-    pub fn gateways(&self) -> usize {
+    pub fn gateway_count(&self) -> usize {
         self.gateways.len()
     }
 
-    fn assign_homes(&mut self) {
+    fn update_subset(&mut self) {
         let targets = self.targets.values();
-        let homes = home_targets(
+        let subset = gateway_subset(
             &self.options.own,
             &self.gateways,
             targets.map(|target| (target.hash, &target.member.data_centre)),
         );
-        self.prefers_homes = homes.len() >= LEAST_HOMES;
+        self.prefers_subset = subset.len() >= MIN_SUBSET_SIZE;
         for target in self.targets.values_mut() {
-            target.is_home = homes.contains(&target.hash);
+            target.in_subset = subset.contains(&target.hash);
         }
     }
 
-    /// Ends a request on a target and takes what it says as evidence.
+    /// Ends a request on a target and records its finding as evidence.
     pub fn finish(&mut self, now: Timestamp, key: BalancedKey, finding: Option<Finding>) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
-        target.own = target.own.saturating_sub(1);
+        target.own_in_flight = target.own_in_flight.saturating_sub(1);
         if let Some(finding) = finding {
             self.observe(now, key, finding);
         }
     }
 
-    /// Takes a finding of this gateway as evidence.
+    /// Records a finding of this gateway as evidence.
     pub fn observe(&mut self, now: Timestamp, key: BalancedKey, finding: Finding) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
-        // A success is news for the others only if they may suspect the target too.
+        // Other gateways need a success only if they may suspect the target as well.
         let is_reported = finding.is_reported()
             || (matches!(finding, Finding::Answered | Finding::Slow)
                 && target.evidence.nats(now) > 0.5);
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Takes an answer after `time` into the answer times; gives the finding that it is.
-    pub fn judge_answer(&mut self, time: Millis, was_silent: bool) -> Finding {
+    /// Adds an answer that took `time` to the average answer time and classifies it.
+    pub fn record_answer(&mut self, time: Millis, was_silent: bool) -> Finding {
         self.answer_times.judge(time, was_silent)
     }
 
@@ -201,87 +201,87 @@
         self.answer_times
     }
 
-    /// Takes over what another gateway found.
-    pub fn hear_findings(&mut self, now: Timestamp, findings: &[ReportedFinding]) {
-        for told in findings {
-            if let Some(key) = self.by_hash.get(&told.target) {
-                self.targets[*key].observe(now, told.finding, Origin::Reported);
+    /// Records findings reported by another gateway.
+    pub fn apply_findings(&mut self, now: Timestamp, findings: &[ReportedFinding]) {
+        for reported in findings {
+            if let Some(key) = self.by_hash.get(&reported.target) {
+                self.targets[*key].observe(now, reported.finding, Origin::Reported);
             }
         }
     }
 
-    /// Takes over what another gateway has in flight.
-    pub fn hear_load(&mut self, now: Timestamp, from: &VmId, report: LoadReport) {
+    /// Records the requests in flight that another gateway reports.
+    pub fn apply_load_report(&mut self, now: Timestamp, from: &VmId, report: LoadReport) {
         for load in &report.in_flight {
             if load.proof_age < u8::MAX
                 && let Some(key) = self.by_hash.get(&load.target)
             {
                 let target = &mut self.targets[*key];
-                let proven = now
+                let proven_at = now
                     .0
-                    .saturating_sub(u64::from(load.proof_age) * PROOF_STEP_MS);
-                target.proven = target.proven.max(Timestamp(proven));
+                    .saturating_sub(u64::from(load.proof_age) * PROOF_AGE_STEP_MS);
+                target.proven_at = target.proven_at.max(Timestamp(proven_at));
             }
         }
-        // Reports arrive hundreds of times a second, so only what changes is counted.
-        let over = self
+        // Reports arrive hundreds of times a second, so the counts are updated incrementally.
+        let superseded = self
             .reports
             .extract_if(|vm, (at, _)| vm == from || now.since(*at) >= REPORT_LIFETIME);
-        for (_, (_, earlier)) in over {
-            for (key, in_flight) in known_loads(&self.by_hash, &earlier) {
-                self.targets[key].others -= in_flight;
+        for (_, (_, previous)) in superseded {
+            for (key, in_flight) in known_loads(&self.by_hash, &previous) {
+                self.targets[key].others_in_flight -= in_flight;
             }
         }
         for (key, in_flight) in known_loads(&self.by_hash, &report) {
-            self.targets[key].others += in_flight;
+            self.targets[key].others_in_flight += in_flight;
         }
         self.reports.insert(from.clone(), (now, report));
     }
 
-    /// Counts all reports anew, after the targets have changed.
-    fn count_reports(&mut self, now: Timestamp) {
+    /// Recomputes the reported load of all targets, after the set of targets has changed.
+    fn recount_reported_load(&mut self, now: Timestamp) {
         self.reports
             .retain(|_, (at, _)| now.since(*at) < REPORT_LIFETIME);
         for target in self.targets.values_mut() {
-            target.others = 0;
+            target.others_in_flight = 0;
         }
         for (_, report) in self.reports.values() {
             for (key, in_flight) in known_loads(&self.by_hash, report) {
-                self.targets[key].others += in_flight;
+                self.targets[key].others_in_flight += in_flight;
             }
         }
     }
 
-    /// The findings since the last call, for the other gateways.
+    /// Removes and returns the findings to report to the other gateways.
     pub fn take_unreported(&mut self) -> Vec<ReportedFinding> {
         std::mem::take(&mut self.unreported)
     }
 
-    /// What this gateway has in flight.
+    /// Report of this gateway's requests in flight.
     pub fn load_report(&self, now: Timestamp) -> LoadReport {
         LoadReport {
             in_flight: self
                 .targets
                 .values()
-                .filter(|target| target.own > 0)
+                .filter(|target| target.own_in_flight > 0)
                 .map(|target| TargetLoad {
                     target: target.hash,
-                    in_flight: u8::try_from(target.own).unwrap_or(u8::MAX),
-                    proof_age: u8::try_from(target.proof_age(now).0 / PROOF_STEP_MS)
+                    in_flight: u8::try_from(target.own_in_flight).unwrap_or(u8::MAX),
+                    proof_age: u8::try_from(target.proof_age(now).0 / PROOF_AGE_STEP_MS)
                         .unwrap_or(u8::MAX),
                 })
                 .collect(),
         }
     }
 
-    /// Whether so many slots are taken that the gateways get in each other's way unless they know
-    /// soon what the others do.
+    /// Whether so many slots are in use that gateways would pick the same free slots without
+    /// frequent load reports.
     pub fn is_crowded(&self, now: Timestamp) -> bool {
         let summary = self.summary(now);
-        f64::from(summary.in_flight) >= f64::from(summary.slots) * CROWDED_SHARE
+        f64::from(summary.in_flight) >= f64::from(summary.slots) * CROWDED_SLOT_SHARE
     }
 
-    /// Counts of the targets.
+    /// Totals over all targets.
     pub fn summary(&self, now: Timestamp) -> TargetSummary {
         let mut summary = TargetSummary::default();
         for target in self.targets.values() {
@@ -295,7 +295,7 @@
     }
 }
 
-/// The requests in flight that a report states, on the targets that are known here.
+/// The reported requests in flight, for the targets that this gateway knows.
 fn known_loads(
     by_hash: &HashMap<TargetHash, BalancedKey>,
     report: &LoadReport,
--- a/crates/auburnbridge_policy/src/balance/dispatcher.rs
+++ b/crates/auburnbridge_policy/src/balance/dispatcher.rs
@@ -7,9 +7,9 @@
 use super::answer_times::AnswerTimes;
 use super::balancer::{Balancer, BalancerOptions, Pick, TargetSummary};
 use super::evidence::Finding;
-use super::homes::GatewayPlace;
 use super::report::{LoadReport, ReportedFinding};
 use super::send_budget::{SendBudget, SendBudgetOptions};
+use super::subset::GatewayPlace;
 use super::target::{BalancedKey, BalancedMember};
 use super::waiting::{Capacity, EventRate, Offer, Refusal, WaitQueue, WaitingKey};
 use crate::RequestClass;
@@ -111,13 +111,14 @@
 
     /// Takes one further send from the budget if it has one.
     pub fn try_send_again(&mut self, now: Timestamp) -> bool {
-        self.budget.try_send_again(now, self.balancer.gateways())
+        self.budget
+            .try_send_again(now, self.balancer.gateway_count())
     }
 
     /// Whether the budget has more than what is kept for requests whose send has failed.
     fn has_spare_sends(&mut self, now: Timestamp) -> bool {
         self.budget
-            .has_left(now, self.balancer.gateways(), KEPT_SHARE)
+            .has_left(now, self.balancer.gateway_count(), KEPT_SHARE)
     }
 
     /// Places a request; `item` is made only if it waits.
@@ -130,7 +131,7 @@
         let may_test = need.class == RequestClass::Idempotent && need.tried.is_empty();
         if may_test
             && self.has_spare_sends(now)
-            && let Some(pick) = self.balancer.pick_test(now)
+            && let Some(pick) = self.balancer.pick_trial(now)
         {
             return Placement::Start(pick);
         }
@@ -238,7 +239,7 @@
 
     /// The finding that an answer after `time` is.
     pub fn judge_answer(&mut self, time: Millis, was_silent: bool) -> Finding {
-        self.balancer.judge_answer(time, was_silent)
+        self.balancer.record_answer(time, was_silent)
     }
 
     /// Answer times of the service.
@@ -255,12 +256,12 @@
 
     /// Takes over what another gateway found.
     pub fn hear_findings(&mut self, now: Timestamp, findings: &[ReportedFinding]) {
-        self.balancer.hear_findings(now, findings);
+        self.balancer.apply_findings(now, findings);
     }
 
     /// Takes over what another gateway has in flight.
     pub fn hear_load(&mut self, now: Timestamp, from: &VmId, report: LoadReport) {
-        self.balancer.hear_load(now, from, report);
+        self.balancer.apply_load_report(now, from, report);
     }
 
     /// The findings that the other gateways have not been told yet.
@@ -287,7 +288,7 @@
         Capacity {
             slots: summary.slots,
             in_flight: summary.in_flight,
-            gateways: self.balancer.gateways(),
+            gateways: self.balancer.gateway_count(),
             latency: self.balancer.answer_times().average(),
             ended_per_ms: self.ended.per_ms(now),
         }
--- a/crates/auburnbridge_policy/src/balance/evidence.rs
+++ b/crates/auburnbridge_policy/src/balance/evidence.rs
@@ -1,76 +1,80 @@
-//! Evidence against a target, as the log of the odds that it fails its work.
+//! Evidence against a target, as the log-odds that it fails requests.
 
 use auburnbridge_types::{Millis, Timestamp};
 use serde::{Deserialize, Serialize};
 use strum::{Display, IntoStaticStr};
 
-/// What one exchange says about its target.
+/// What one exchange shows about its target.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Display, IntoStaticStr,
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum Finding {
-    /// A whole answer in usual time.
+    /// A complete answer in the usual time.
     Answered,
-    /// A whole answer that took several times the usual time.
+    /// A complete answer that took several times the usual time.
     Slow,
-    /// The target's own error, which healthy targets give now and then.
+    /// An error response of the target, which healthy targets also return occasionally.
     ServerError,
-    /// The request was broken off on its arrival, or the answer is no answer.
+    /// The connection closed as the request arrived, or the answer is malformed.
     Broken,
-    /// The connection ended while the target was at work.
+    /// The connection closed while the target was processing the request.
     Interrupted,
     /// No answer within several times the usual time.
     Silent,
-    /// The target had no room.
+    /// The target rejected the request because it was at capacity.
     Shed,
     /// The target refused the connection: its process is not running.
     Refused,
-    /// No connection came about.
+    /// No connection could be established.
     Unreachable,
-    /// Another target has the address.
+    /// Another target now uses the address.
     Replaced,
 }
 
-/// Whose finding it is.
+/// Source of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// Of this gateway.
+    /// Observed by this gateway.
     Own,
     /// Reported by another gateway.
     Reported,
 }
 
-/// The weights are logarithms of odds, in nats. Healthy targets answer with an error of their own
-/// about one time in a hundred, and there are far more of them than of failing ones.
+// The weights of findings are log-odds in nats.
+
+/// Weight of a server error. Healthy targets return an error for about one request in a hundred,
+/// and they far outnumber failing ones.
 const ERROR_NATS: f64 = 2.0;
-/// A healthy target hardly ever breaks an answer off.
+/// Weight of a broken answer, which healthy targets hardly ever produce.
 const BROKEN_NATS: f64 = 4.5;
-/// Connections end under a request for reasons of the path as well, and all at once when this VM loses
-/// its connections.
+/// Weight of a connection that closed during processing. The path may be the cause as well, and all
+/// requests are interrupted together when this VM loses its connections.
 const INTERRUPTED_NATS: f64 = 1.0;
-/// Rare long requests look silent too.
+/// Weight of silence, which rare long requests cause as well.
 const SILENT_NATS: f64 = 3.0;
-/// A slow answer is an answer, and long requests are as rare as errors.
+/// Weight of a slow answer. It is still an answer, and long requests are as rare as errors.
 const SLOW_NATS: f64 = 2.0;
-/// An answer is a quarter as likely from a target that fails three quarters of its work.
+/// Weight of an answer, which is a quarter as likely from a target that fails three quarters of its
+/// requests.
 const ANSWER_NATS: f64 = -1.4;
-/// Failures to connect happen on a lossy path as well.
+/// Weight of a failure to connect, which a lossy path causes as well.
 const UNREACHABLE_NATS: f64 = 3.0;
-/// Evidence is not added up beyond this, so that three answers in a row clear a target.
-const MOST_NATS: f64 = 4.5;
-/// Evidence halves in this time without news. Partial failures last 2 to 7 seconds, and two half-lives
-/// after a break a target is hardly more likely to fail than any target that nobody has heard of.
+/// Upper limit of the evidence, so that three answers in a row clear a target.
+const MAX_NATS: f64 = 4.5;
+/// Half-life of the evidence. Partial failures last 2 to 7 seconds, and two half-lives after a
+/// broken answer a target is hardly more likely to fail than one without recent findings.
 const HALF_LIFE_MS: f64 = 3_500.0;
-/// Evidence that one error or slow answer doesn't reach, and one broken answer does, also with an
-/// answer after it: a quarter of the requests of a failing target are answered.
+/// Evidence from which a target is strongly suspected. One error or slow answer doesn't reach it;
+/// one broken answer does, even with an answer after it, since a failing target answers a quarter
+/// of its requests.
 pub(super) const STRONG_NATS: f64 = 2.5;
 
-/// Time after which a request that has not failed shows that its target works: failing targets break
-/// requests off within a few milliseconds.
+/// Time after which a request in flight proves that its target works: failing targets close the
+/// connection within a few milliseconds.
 pub(super) const PROOF_TIME: Millis = Millis(25);
 
-/// Evidence that fades.
+/// Evidence that decays over time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Evidence {
     nats: f64,
@@ -80,7 +84,7 @@
 impl Evidence {
     /// The evidence at `now`, in nats.
     pub(super) fn nats(&self, now: Timestamp) -> f64 {
-        // Nothing speaks against most targets, and each decision looks at all of them.
+        // Most targets have no evidence against them, and each decision evaluates all targets.
         if self.nats == 0.0 {
             return 0.0;
         }
@@ -90,7 +94,7 @@
     }
 
     pub(super) fn add(&mut self, now: Timestamp, nats: f64) {
-        self.nats = (self.nats(now) + nats).clamp(0.0, MOST_NATS);
+        self.nats = (self.nats(now) + nats).clamp(0.0, MAX_NATS);
         self.at = now;
     }
 
@@ -100,7 +104,8 @@
 }
 
 impl Finding {
-    /// The finding that a broken connection is, by the time since its request was sent.
+    /// Classifies a connection that closed without an answer, by the time since the request was
+    /// sent.
     pub fn of_break(after: Millis) -> Self {
         if after < PROOF_TIME {
             Self::Broken
@@ -126,15 +131,15 @@
     pub(super) fn path_nats(self) -> f64 {
         match self {
             Self::Unreachable => UNREACHABLE_NATS,
-            // An answer came over the path.
-            Self::Answered | Self::Slow | Self::ServerError | Self::Shed => -MOST_NATS,
-            // Silence may be due to the path, in which case others see nothing.
+            // An answer shows that the path works.
+            Self::Answered | Self::Slow | Self::ServerError | Self::Shed => -MAX_NATS,
+            // Silence may be caused by the path, in which case other gateways see none.
             Self::Silent => SILENT_NATS / 2.0,
             Self::Broken | Self::Interrupted | Self::Refused | Self::Replaced => 0.0,
         }
     }
 
-    /// Whether the other gateways are told in any case.
+    /// Whether the finding is always reported to the other gateways.
     pub fn is_reported(self) -> bool {
         match self {
             Self::ServerError
--- a/crates/auburnbridge_policy/src/balance/mod.rs
+++ b/crates/auburnbridge_policy/src/balance/mod.rs
@@ -1,22 +1,23 @@
-//! Choice of targets by load and evidence that all gateways share.
+//! Load balancing over the targets of a service, by load and failure evidence shared by all
+//! gateways.
 //!
-//! One gateway sees a target every few seconds at most, so on its own it would find out about a
-//! failing target by failing requests of its callers, and so would each of the others. The gateways
-//! therefore tell each other at once what speaks against a target, and several times a second how
-//! many requests they have in flight on which target. A [`Balancer`] decides on the sum, and a
-//! [`Dispatcher`] adds the requests that wait.
+//! A single gateway may send only one request to a target every few seconds, so on its own it would
+//! detect a failing target only by losing requests of its callers, as would every other gateway.
+//! The gateways therefore report evidence against a target to each other immediately, and their
+//! requests in flight per target several times a second. A [`Balancer`] selects targets by the
+//! combined data; a [`Dispatcher`] adds the queue of waiting requests.
 //!
-//! Failures to connect are kept apart: they may be due to the path from this VM, and are neither
-//! told to others nor forgiven by their successes.
+//! Connection failures are evidence about the path from this VM and are kept separate: they are not
+//! reported to other gateways, and successes of other gateways don't offset them.
 
 mod answer_times;
 mod balancer;
-mod choice;
 mod dispatcher;
 mod evidence;
-mod homes;
 mod report;
+mod selection;
 mod send_budget;
+mod subset;
 mod target;
 mod waiting;
 
@@ -24,8 +25,8 @@
 pub use balancer::{Balancer, BalancerOptions, Pick, TargetSummary};
 pub use dispatcher::{Dispatcher, DispatcherOptions, Need, Placement};
 pub use evidence::{Finding, Origin};
-pub use homes::{GatewayPlace, home_targets};
 pub use report::{LoadReport, ReportedFinding, TargetHash, TargetLoad};
 pub use send_budget::{SendBudget, SendBudgetOptions};
+pub use subset::{GatewayPlace, gateway_subset};
 pub use target::{BalancedKey, BalancedMember};
 pub use waiting::{Capacity, Offer, Refusal, WaitQueue, WaitingKey};
--- a/crates/auburnbridge_policy/src/balance/report.rs
+++ b/crates/auburnbridge_policy/src/balance/report.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other about targets.
+//! Reports about targets that gateways send each other.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,17 +8,17 @@
 
 use super::Finding;
 
-/// Short name of a target's life in reports, which are sent often.
+/// Hash that identifies an incarnation of a target in reports, which are frequent and kept small.
 ///
-/// Two of a few thousand lives share one with a probability of about one in a thousand; the
-/// consequence is that one is taken for busier or less healthy than it is.
+/// Among a few thousand incarnations two collide with a probability of about one in a thousand. On
+/// a collision one of them appears busier or less healthy than it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetHash(pub u32);
 
 impl TargetHash {
-    /// The name of the life `incarnation` of `target`, the same in every process.
+    /// Hashes an incarnation of a target; the result is the same in every process.
     pub fn of(target: &TargetId, incarnation: Incarnation) -> Self {
-        // FNV-1a, whose result doesn't depend on the build.
+        // FNV-1a, whose result is the same in every build.
         const OFFSET: u32 = 0x811c_9dc5;
         const PRIME: u32 = 0x0100_0193;
         let bytes = target.as_str().bytes().chain(incarnation.0.to_le_bytes());
@@ -44,30 +44,30 @@
     }
 }
 
-/// One finding for the other gateways.
+/// A finding reported to the other gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedFinding {
-    /// The target's life.
+    /// The target's incarnation.
     pub target: TargetHash,
-    /// What was found.
+    /// What the exchange showed.
     pub finding: Finding,
 }
 
-/// What a gateway has in flight on one target.
+/// Requests that a gateway has in flight on one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetLoad {
-    /// The target's life.
+    /// The target's incarnation.
     pub target: TargetHash,
     /// Number of requests.
     pub in_flight: u8,
-    /// Time since the target last began to work on a request, in steps of 8 ms; 255 if that is
-    /// unknown or long ago.
+    /// Time since the target last gave a proof that it works, in steps of 8 ms; 255 if it is
+    /// unknown or longer ago.
     pub proof_age: u8,
 }
 
-/// What a gateway has in flight; targets without a request are left out.
+/// Requests that a gateway has in flight; targets without requests are omitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Each target with a request.
+    /// One entry for each target with requests.
     pub in_flight: Vec<TargetLoad>,
 }
--- /dev/null
+++ b/crates/auburnbridge_policy/src/balance/selection.rs
@@ -0,0 +1,293 @@
+//! Target selection of a [`Balancer`].
+
+use auburnbridge_types::{Millis, Timestamp};
+use rand::Rng;
+
+use super::balancer::{Balancer, Pick};
+use super::evidence::STRONG_NATS;
+use super::target::{BalancedKey, BalancedTarget, SUSPECT_NATS};
+use crate::RequestClass;
+
+/// Time without requests or findings after which an idempotent request may try a weakly suspected
+/// target, or one whose latest finding was an answer.
+const WEAK_TRIAL_INTERVAL: Millis = Millis(150);
+/// The same for a strongly suspected target.
+const STRONG_TRIAL_INTERVAL: Millis = Millis(700);
+/// Requests that a target receives beyond its slots. The target's own queue ignores priorities, and
+/// a request that waits there delays all requests behind it.
+const MAX_QUEUED: u32 = 1;
+/// Exponent with which the weight of a target decreases with its proof age, for requests that must
+/// not fail.
+const PROOF_AGE_EXPONENT: u32 = 3;
+
+/// Order in which targets are selected; lower tiers go first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Tier {
+    /// Trusted and free, in the subset of this gateway.
+    SubsetFree,
+    /// Trusted and free, in this data centre; traffic between data centres costs more.
+    LocalFree,
+    /// Trusted and free, in another data centre.
+    RemoteFree,
+    /// Suspected and free, trusted only because of the floor.
+    FloorFree,
+    /// Weakly suspected but free, for a request that can be retried on another target.
+    SuspectFree,
+    /// Busy: the request would wait in the target's own queue.
+    Busy,
+    /// Suspected but free, where the request is likely to fail or can't be retried.
+    Risky,
+    /// Down, suspected and busy, or with a request in its own queue already.
+    LastResort,
+}
+
+impl Balancer {
+    /// Picks a target with a free slot and counts the request as in flight on it; `None` means that
+    /// the request should wait for a slot.
+    pub fn pick(
+        &mut self,
+        now: Timestamp,
+        class: RequestClass,
+        tried: &[BalancedKey],
+        rng: &mut impl Rng,
+    ) -> Option<Pick> {
+        let worst = match class {
+            RequestClass::Idempotent => Tier::SuspectFree,
+            // At-most-once requests can't be retried after a failure.
+            RequestClass::Once => Tier::FloorFree,
+        };
+        self.pick_up_to(now, class, worst, tried, rng)
+    }
+
+    /// Picks a suspected target with a free slot that is due for a trial, for an idempotent request
+    /// that has not been sent yet. This takes no slots from other requests, which avoid the target.
+    pub fn pick_trial(&mut self, now: Timestamp) -> Option<Pick> {
+        let key = self.suspect_to_try(now)?;
+        Some(self.start(now, key))
+    }
+
+    /// Picks a trusted target whose slots are in use but whose own queue is almost empty, for a
+    /// request that has waited for a long time.
+    pub fn pick_busy(
+        &mut self,
+        now: Timestamp,
+        class: RequestClass,
+        tried: &[BalancedKey],
+        rng: &mut impl Rng,
+    ) -> Option<Pick> {
+        self.pick_up_to(now, class, Tier::Busy, tried, rng)
+    }
+
+    /// Picks the best available target even if it is down or suspected, for use when none is
+    /// trusted.
+    pub fn pick_any(
+        &mut self,
+        now: Timestamp,
+        class: RequestClass,
+        tried: &[BalancedKey],
+        rng: &mut impl Rng,
+    ) -> Option<Pick> {
+        self.pick_up_to(now, class, Tier::LastResort, tried, rng)
+    }
+
+    fn pick_up_to(
+        &mut self,
+        now: Timestamp,
+        class: RequestClass,
+        worst: Tier,
+        tried: &[BalancedKey],
+        rng: &mut impl Rng,
+    ) -> Option<Pick> {
+        let key = self.draw_up_to(now, class, worst, tried, rng)?;
+        Some(self.start(now, key))
+    }
+
+    fn start(&mut self, now: Timestamp, key: BalancedKey) -> Pick {
+        let target = &mut self.targets[key];
+        target.start(now);
+        Pick {
+            key,
+            target: target.member.id.clone(),
+            address: target.member.address,
+            incarnation: target.member.incarnation,
+            in_flight: target.in_flight(),
+            suspicion: target.suspicion(now),
+        }
+    }
+
+    /// The suspected target of this gateway's subset that is due for a trial and has had none for
+    /// the longest time. Only idempotent requests are used for trials, since they can be retried on
+    /// another target. Without trials, evidence against a target decays within seconds.
+    fn suspect_to_try(&self, now: Timestamp) -> Option<BalancedKey> {
+        self.targets
+            .iter()
+            .filter(|(_, target)| target.in_subset && !target.is_down(now))
+            .filter(|(_, target)| target.is_suspect(now))
+            .filter(|(_, target)| target.own_in_flight == 0 && target.free_slots(now) > 0)
+            .filter(|(_, target)| {
+                now.since(target.last_activity) >= self.trial_interval(now, target)
+            })
+            .min_by_key(|(_, target)| target.last_activity)
+            .map(|(key, _)| key)
+    }
+
+    fn is_local(&self, target: &BalancedTarget) -> bool {
+        target.member.data_centre == self.options.own.data_centre
+    }
+
+    /// Time between trials, spread per gateway and target up to twice the minimum. Otherwise two
+    /// gateways that both have the target in their subset would try it at the same moment.
+    fn trial_interval(&self, now: Timestamp, target: &BalancedTarget) -> Millis {
+        let shortest = if target.answered_last || target.suspicion(now) < STRONG_NATS {
+            WEAK_TRIAL_INTERVAL
+        } else {
+            STRONG_TRIAL_INTERVAL
+        };
+        let spread = (self.options.seed ^ u64::from(target.hash.0)) % shortest.0;
+        Millis(shortest.0 + spread)
+    }
+
+    /// Selects a target of the best tier, up to `worst`. In the gateway's subset this is the target
+    /// with the latest proof, or the one with the oldest proof for a request that explores. In
+    /// other tiers it is drawn at random, weighted by free slots, so that gateways with the same
+    /// view pick different targets.
+    fn draw_up_to(
+        &self,
+        now: Timestamp,
+        class: RequestClass,
+        worst: Tier,
+        tried: &[BalancedKey],
+        rng: &mut impl Rng,
+    ) -> Option<BalancedKey> {
+        let floor_limit = self.floor_limit(now);
+        // The first send of an idempotent request explores: it may detect that a target has begun
+        // to fail.
+        let explores = class == RequestClass::Idempotent && tried.is_empty();
+        let mut best = worst;
+        let mut candidates: Vec<BalancedKey> = Vec::new();
+        for (key, target) in &self.targets {
+            if tried.contains(&key) {
+                continue;
+            }
+            let tier = self.tier(now, class, target, floor_limit);
+            if tier > best {
+                continue;
+            }
+            if tier < best {
+                best = tier;
+                candidates.clear();
+            }
+            candidates.push(key);
+        }
+        if best == Tier::SubsetFree {
+            let proofs = candidates
+                .iter()
+                .map(|key| (self.targets[*key].proof_age(now), *key));
+            let chosen = if explores { proofs.max() } else { proofs.min() };
+            return chosen.map(|(_, key)| key);
+        }
+        let weights: Vec<u32> = candidates
+            .iter()
+            .map(|key| weight(now, explores, best, &self.targets[*key]))
+            .collect();
+        let total: u32 = weights.iter().sum();
+        if total == 0 {
+            return None;
+        }
+        let mut drawn = rng.random_range(0..total);
+        candidates
+            .into_iter()
+            .zip(weights)
+            .find_map(|(key, weight)| {
+                if drawn < weight {
+                    return Some(key);
+                }
+                drawn -= weight;
+                None
+            })
+    }
+
+    fn tier(
+        &self,
+        now: Timestamp,
+        class: RequestClass,
+        target: &BalancedTarget,
+        floor_limit: f64,
+    ) -> Tier {
+        let suspicion = target.suspicion(now);
+        let is_strong = suspicion >= STRONG_NATS;
+        let is_clear = suspicion < SUSPECT_NATS;
+        let is_trusted = is_clear || (suspicion <= floor_limit && !is_strong);
+        let is_risky = class == RequestClass::Once || is_strong;
+        if target.is_down(now) {
+            return Tier::LastResort;
+        }
+        let is_free = target.free_slots(now) > 0 && now >= target.shed_until;
+        match (is_trusted, is_free) {
+            (true, true) if !is_clear => Tier::FloorFree,
+            (true, true) if target.in_subset && self.prefers_subset => Tier::SubsetFree,
+            (true, true) if self.is_local(target) => Tier::LocalFree,
+            (true, true) => Tier::RemoteFree,
+            (false, true) if is_risky => Tier::Risky,
+            (false, true) => Tier::SuspectFree,
+            (true, false) if target.in_flight() < target.capacity(now) + MAX_QUEUED => Tier::Busy,
+            (true | false, false) => Tier::LastResort,
+        }
+    }
+
+    /// Suspicion up to which targets have to be trusted so that the floor's share of them receives
+    /// requests. Strongly suspected targets provide no capacity and stay excluded regardless of the
+    /// floor.
+    fn floor_limit(&self, now: Timestamp) -> f64 {
+        let mut suspicions: Vec<f64> = self
+            .targets
+            .values()
+            .filter(|target| !target.is_down(now))
+            .map(|target| target.suspicion(now))
+            .collect();
+        if suspicions.is_empty() {
+            return SUSPECT_NATS;
+        }
+        suspicions.sort_by(f64::total_cmp);
+        #[expect(
+            clippy::cast_possible_truncation,
+            clippy::cast_sign_loss,
+            clippy::cast_precision_loss,
+            reason = "a share of a count of targets"
+        )]
+        let floor = (suspicions.len() as f64 * self.options.floor_share).ceil() as usize;
+        suspicions[floor.clamp(1, suspicions.len()) - 1]
+    }
+}
+
+/// Weight of a candidate in the random selection.
+fn weight(now: Timestamp, explores: bool, tier: Tier, target: &BalancedTarget) -> u32 {
+    match tier {
+        Tier::SubsetFree
+        | Tier::LocalFree
+        | Tier::RemoteFree
+        | Tier::FloorFree
+        | Tier::SuspectFree
+        | Tier::Risky => {
+            let free = target.free_slots(now);
+            // Load of other gateways is known with a delay, so targets that they use get less
+            // weight.
+            let crowding = (1 + target.others_in_flight).min(8);
+            let weight = free * free * 1_024 / (crowding * crowding);
+            let steps = proof_steps(target.proof_age(now));
+            if explores {
+                // A failing target costs such a request only one send.
+                return (weight / 16 * (1 + steps)).max(1);
+            }
+            (weight / (1 + steps).pow(PROOF_AGE_EXPONENT)).max(1)
+        }
+        Tier::Busy | Tier::LastResort => 1,
+    }
+}
+
+/// Proof age in steps of 60 ms, at most 15. Targets begin to fail at any moment, so the probability
+/// that one has done so grows with the time since its last proof.
+fn proof_steps(age: Millis) -> u32 {
+    const STEP: Millis = Millis(60);
+    u32::try_from(age.0 / STEP.0).unwrap_or(u32::MAX).min(15)
+}
--- a/crates/auburnbridge_policy/src/balance/target.rs
+++ b/crates/auburnbridge_policy/src/balance/target.rs
@@ -1,4 +1,7 @@
-//! What one gateway knows about one target.
+//! State of one target, as known to one gateway.
+//!
+//! A target has given a *proof* that it works when a request from some gateway has been answered or
+//! has run for [`PROOF_TIME`] without failing. The proof dates from the start of that request.
 
 use std::net::SocketAddr;
 
@@ -13,30 +16,30 @@
     pub struct BalancedKey;
 }
 
-/// Evidence from which a target gets at-most-once work only if no other has room, in nats. One
-/// error of its own or one broken answer within the last seconds is enough.
+/// Evidence from which a target is suspected, in nats: it receives at-most-once requests only if no
+/// other target has room. One server error or one broken answer within the last seconds is enough.
 pub(super) const SUSPECT_NATS: f64 = 1.5;
-/// First pause of a target that refused a connection; it doubles with each further one.
-const FIRST_DOWN: Millis = Millis(400);
-/// Longest such pause.
-const LAST_DOWN: Millis = Millis(3_000);
-/// Pause of a target that had no room, in which others come first.
+/// Backoff after a target refused a connection; it doubles with each further refusal.
+const INITIAL_BACKOFF: Millis = Millis(400);
+/// Upper limit of the backoff.
+const MAX_BACKOFF: Millis = Millis(3_000);
+/// Time after a target shed a request in which other targets are preferred.
 const SHED_PAUSE: Millis = Millis(60);
-/// Time for which a target that joined counts as slow.
-pub(super) const COLD_TIME: Millis = Millis(3_000);
+/// Time after a target joins or restarts in which only half of its slots are used.
+pub(super) const WARMUP_TIME: Millis = Millis(3_000);
 
-/// A target that takes work, as announced.
+/// A target that accepts requests, as announced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BalancedMember {
-    /// Its name.
+    /// ID of the target.
     pub id: TargetId,
-    /// Where it accepts requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Number of its life.
+    /// Incarnation of the target process.
     pub incarnation: Incarnation,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs concurrently.
     pub slots: Slots,
 }
 
@@ -44,144 +47,145 @@
 pub(super) struct BalancedTarget {
     pub(super) member: BalancedMember,
     pub(super) hash: TargetHash,
-    /// Whether this gateway is its home.
-    pub(super) is_home: bool,
+    /// Whether the target is in the subset of this gateway.
+    pub(super) in_subset: bool,
     /// Requests in flight from this gateway.
-    pub(super) own: u32,
-    /// Requests in flight from the others, by their reports.
-    pub(super) others: u32,
+    pub(super) own_in_flight: u32,
+    /// Requests in flight from the other gateways, by their reports.
+    pub(super) others_in_flight: u32,
     pub(super) evidence: Evidence,
-    /// Evidence about the path from here.
-    pub(super) path: Evidence,
+    /// Evidence about the path from this gateway to the target.
+    pub(super) path_evidence: Evidence,
     pub(super) down_until: Timestamp,
-    down_time: Millis,
+    backoff: Millis,
     pub(super) shed_until: Timestamp,
-    pub(super) cold_until: Timestamp,
-    /// When a request last went there from here, or another gateway told of one.
-    pub(super) last_news: Timestamp,
+    pub(super) warmup_until: Timestamp,
+    /// When this gateway last sent a request, or a finding of any gateway arrived.
+    pub(super) last_activity: Timestamp,
     /// Whether the last finding was an answer.
     pub(super) answered_last: bool,
-    /// Whether another target has its address.
+    /// Whether another target now uses its address.
     pub(super) is_replaced: bool,
-    /// Start of the latest request that the target has begun to work on, as far as known.
-    pub(super) proven: Timestamp,
-    /// Start of the latest request from here that is in flight.
-    pub(super) last_start: Timestamp,
+    /// Start of the latest request that has given a proof.
+    pub(super) proven_at: Timestamp,
+    /// Start of the latest request from this gateway.
+    pub(super) last_started_at: Timestamp,
 }
 
 impl BalancedTarget {
-    pub(super) fn new(member: BalancedMember, cold_until: Timestamp) -> Self {
+    pub(super) fn new(member: BalancedMember, warmup_until: Timestamp) -> Self {
         Self {
             hash: TargetHash::of(&member.id, member.incarnation),
             member,
-            is_home: false,
-            own: 0,
-            others: 0,
+            in_subset: false,
+            own_in_flight: 0,
+            others_in_flight: 0,
             evidence: Evidence::default(),
-            path: Evidence::default(),
+            path_evidence: Evidence::default(),
             down_until: Timestamp(0),
-            down_time: FIRST_DOWN,
+            backoff: INITIAL_BACKOFF,
             shed_until: Timestamp(0),
-            cold_until,
-            last_news: Timestamp(0),
+            warmup_until,
+            last_activity: Timestamp(0),
             answered_last: false,
             is_replaced: false,
-            proven: Timestamp(0),
-            last_start: Timestamp(0),
+            proven_at: Timestamp(0),
+            last_started_at: Timestamp(0),
         }
     }
 
     pub(super) fn in_flight(&self) -> u32 {
-        self.own + self.others
+        self.own_in_flight + self.others_in_flight
     }
 
-    /// Requests that it can take at once; a cold target is taken to have half of its slots.
+    /// Number of requests to send to it at a time: its slots, or half of them while it warms up.
     pub(super) fn capacity(&self, now: Timestamp) -> u32 {
         let slots = self.member.slots.0.max(1);
-        if now < self.cold_until {
+        if now < self.warmup_until {
             slots.div_ceil(2)
         } else {
             slots
         }
     }
 
-    pub(super) fn free(&self, now: Timestamp) -> u32 {
+    pub(super) fn free_slots(&self, now: Timestamp) -> u32 {
         self.capacity(now).saturating_sub(self.in_flight())
     }
 
-    /// Evidence against sending it work from here, in nats.
+    /// Evidence against the target and the path to it, in nats.
     pub(super) fn suspicion(&self, now: Timestamp) -> f64 {
-        self.evidence.nats(now) + self.path.nats(now)
+        self.evidence.nats(now) + self.path_evidence.nats(now)
     }
 
     pub(super) fn is_down(&self, now: Timestamp) -> bool {
         self.is_replaced || now < self.down_until
     }
 
-    /// Counts a request from here that starts now.
+    /// Counts a request that this gateway starts now.
     pub(super) fn start(&mut self, now: Timestamp) {
-        // A start that has stood the proof counts from now on, when another one takes its place.
-        self.proven = Timestamp(now.0.saturating_sub(self.proof_age(now).0));
-        self.own += 1;
-        self.last_start = now;
-        self.last_news = now;
+        // Keeps the proof of the previous request, whose start time is overwritten.
+        self.proven_at = Timestamp(now.0.saturating_sub(self.proof_age(now).0));
+        self.own_in_flight += 1;
+        self.last_started_at = now;
+        self.last_activity = now;
     }
 
     pub(super) fn is_suspect(&self, now: Timestamp) -> bool {
         self.suspicion(now) >= SUSPECT_NATS
     }
 
-    /// Time since the target last began to work on a request, as far as known.
+    /// Time since the latest proof.
     pub(super) fn proof_age(&self, now: Timestamp) -> Millis {
-        let is_proof = self.own > 0 && now.since(self.last_start) >= PROOF_TIME;
-        let proven = if is_proof {
-            self.proven.max(self.last_start)
+        let is_proof = self.own_in_flight > 0 && now.since(self.last_started_at) >= PROOF_TIME;
+        let proven_at = if is_proof {
+            self.proven_at.max(self.last_started_at)
         } else {
-            self.proven
+            self.proven_at
         };
-        now.since(proven)
+        now.since(proven_at)
     }
 
     pub(super) fn observe(&mut self, now: Timestamp, finding: Finding, origin: Origin) {
         self.evidence.add(now, finding.target_nats());
-        self.last_news = now;
+        self.last_activity = now;
         self.answered_last = finding == Finding::Answered;
         if origin == Origin::Own {
-            self.path.add(now, finding.path_nats());
+            self.path_evidence.add(now, finding.path_nats());
         }
         match finding {
             Finding::Refused => {
-                // Others find it down too; only the first one of a pause lengthens the next.
+                // Other gateways report refusals as well; only the first one after a backoff
+                // increases the next backoff.
                 if now >= self.down_until {
-                    self.down_until = now.after(self.down_time);
-                    self.down_time = Millis(self.down_time.0 * 2).min(LAST_DOWN);
+                    self.down_until = now.after(self.backoff);
+                    self.backoff = Millis(self.backoff.0 * 2).min(MAX_BACKOFF);
                 }
             }
             Finding::Answered => {
-                self.down_time = FIRST_DOWN;
+                self.backoff = INITIAL_BACKOFF;
                 self.down_until = Timestamp(0);
-                self.proven = self.proven.max(self.last_start);
+                self.proven_at = self.proven_at.max(self.last_started_at);
             }
             Finding::Shed => self.shed_until = now.after(SHED_PAUSE),
             Finding::Replaced => self.is_replaced = true,
             Finding::Broken | Finding::ServerError | Finding::Silent => {
-                self.proven = Timestamp(0);
-                self.last_start = Timestamp(0);
+                self.proven_at = Timestamp(0);
+                self.last_started_at = Timestamp(0);
             }
             Finding::Slow | Finding::Interrupted | Finding::Unreachable => {}
         }
     }
 
-    /// Begins another life of the target.
+    /// Replaces the target by a new incarnation and discards the evidence against the earlier one.
     pub(super) fn restart(&mut self, now: Timestamp, member: BalancedMember) {
         self.hash = TargetHash::of(&member.id, member.incarnation);
         self.member = member;
-        self.others = 0;
+        self.others_in_flight = 0;
         self.evidence.clear();
-        self.path.clear();
+        self.path_evidence.clear();
         self.down_until = Timestamp(0);
-        self.down_time = FIRST_DOWN;
-        self.cold_until = now.after(COLD_TIME);
+        self.backoff = INITIAL_BACKOFF;
+        self.warmup_until = now.after(WARMUP_TIME);
         self.is_replaced = false;
     }
 }
--- a/crates/auburnbridge_policy/tests/balancer.rs
+++ b/crates/auburnbridge_policy/tests/balancer.rs
@@ -1,4 +1,5 @@
-//! Guards single choices of targets: tests of suspected ones, the floor, and lives at one address.
+//! Tests of target selection: trials of suspected targets, the floor, and incarnations at one
+//! address.
 
 use std::collections::BTreeSet;
 
@@ -42,17 +43,17 @@
     balancer.pick(time(now), class, &[], &mut ChaCha8Rng::seed_from_u64(now))
 }
 
-fn told(name: &str, finding: Finding) -> ReportedFinding {
+fn reported(name: &str, finding: Finding) -> ReportedFinding {
     ReportedFinding {
         target: TargetHash::of(&name.parse().unwrap(), Incarnation(1)),
         finding,
     }
 }
 
-/// Guards against traffic between data centres while there is room near, and against refusing it
-/// when there is none.
+/// Requests must not cross data centres while a local target has a free slot, and must not be
+/// refused when only remote ones do.
 #[test]
-fn near_targets_come_first() {
+fn local_targets_are_preferred() {
     let mut balancer = balancer(&[member("t-near", "north"), member("t-far", "south")]);
     let picks: Vec<String> = (0..4)
         .map(|_| {
@@ -66,10 +67,9 @@
     assert_eq!(pick(&mut balancer, 100, RequestClass::Once), None);
 }
 
-/// Guards against requests of other gateways that take slots unseen, and against reports that count
-/// for ever.
+/// Requests of other gateways must occupy slots, and their reports must expire.
 #[test]
-fn reported_requests_take_slots_for_a_while() {
+fn reported_requests_occupy_slots_until_the_report_expires() {
     let mut balancer = balancer(&[member("t-1", "north")]);
     let report = LoadReport {
         in_flight: vec![TargetLoad {
@@ -79,22 +79,22 @@
         }],
     };
     let other = "gateway-2".parse().unwrap();
-    balancer.hear_load(time(100), &other, report);
+    balancer.apply_load_report(time(100), &other, report);
     assert_eq!(pick(&mut balancer, 200, RequestClass::Once), None);
-    // A later report of anyone makes the old one count no more.
+    // The next report of any gateway removes the expired one.
     let third = "gateway-3".parse().unwrap();
-    balancer.hear_load(time(2_000), &third, LoadReport::default());
+    balancer.apply_load_report(time(2_000), &third, LoadReport::default());
     assert!(pick(&mut balancer, 2_000, RequestClass::Once).is_some());
 }
 
-/// Guards against requests in flight that are counted twice or never taken off when a gateway reports
-/// again, when its report is too old and when the targets change.
+/// Reported requests must not be counted twice or leak when a gateway reports again, when its
+/// report expires or when the set of targets changes.
 #[test]
 fn newer_reports_replace_earlier_ones() {
     fn in_flight(balancer: &mut Balancer, now: u64) -> Vec<u32> {
         ["t-1", "t-2"]
             .map(|name| {
-                // The target of the pick is drawn at random, so picks go on until it is `name`.
+                // Targets are picked at random, so this repeats until the pick is `name`.
                 let mut picks = Vec::new();
                 loop {
                     let pick = balancer
@@ -118,7 +118,7 @@
         in_flight: loads
             .iter()
             .map(|(name, in_flight)| TargetLoad {
-                target: told(name, Finding::Answered).target,
+                target: reported(name, Finding::Answered).target,
                 in_flight: *in_flight,
                 proof_age: u8::MAX,
             })
@@ -126,14 +126,14 @@
     };
     let (second, third) = ("gateway-2".parse().unwrap(), "gateway-3".parse().unwrap());
     let mut balancer = balancer(&[member("t-1", "north"), member("t-2", "north")]);
-    balancer.hear_load(
+    balancer.apply_load_report(
         time(0),
         &second,
         report(&[("t-1", 2), ("t-2", 1), ("t-9", 5)]),
     );
-    balancer.hear_load(time(1_000), &third, report(&[("t-1", 4)]));
+    balancer.apply_load_report(time(1_000), &third, report(&[("t-1", 4)]));
     assert_eq!(in_flight(&mut balancer, 1_000), [6, 1]);
-    balancer.hear_load(time(1_100), &third, report(&[("t-1", 1), ("t-2", 3)]));
+    balancer.apply_load_report(time(1_100), &third, report(&[("t-1", 1), ("t-2", 3)]));
     assert_eq!(in_flight(&mut balancer, 1_100), [3, 4]);
     let members = [
         member("t-1", "north"),
@@ -142,46 +142,46 @@
     ];
     balancer.set_members(time(1_200), &members);
     assert_eq!(in_flight(&mut balancer, 1_200), [3, 4]);
-    balancer.hear_load(time(2_000), &third, report(&[("t-2", 1)]));
+    balancer.apply_load_report(time(2_000), &third, report(&[("t-2", 1)]));
     assert_eq!(in_flight(&mut balancer, 2_000), [0, 1]);
 }
 
-/// Guards against at-most-once work that goes where another gateway saw a break, and against tests
-/// that never come or come all at once.
+/// At-most-once requests must avoid a target for which another gateway reported a broken answer,
+/// and trials must take place, one at a time.
 #[test]
-fn reported_break_keeps_work_away_until_tests_clear_it() {
+fn reported_failure_diverts_requests_until_trials_clear_it() {
     let members = [member("t-1", "north"), member("t-2", "north")];
     let mut balancer = balancer(&members);
-    balancer.hear_findings(time(100), &[told("t-1", Finding::Broken)]);
+    balancer.apply_findings(time(100), &[reported("t-1", Finding::Broken)]);
     for now in 200..220 {
         if let Some(pick) = pick(&mut balancer, now, RequestClass::Once) {
             assert_eq!(pick.target.as_str(), "t-2");
             balancer.finish(time(now), pick.key, Some(Finding::Answered));
         }
     }
-    assert_eq!(balancer.pick_test(time(300)), None);
+    assert_eq!(balancer.pick_trial(time(300)), None);
     let mut now = 1_500;
-    let mut tests = 0;
-    while let Some(test) = balancer.pick_test(time(now)) {
-        assert_eq!(test.target.as_str(), "t-1");
-        assert_eq!(balancer.pick_test(time(now)), None, "two tests at once");
-        balancer.finish(time(now + 50), test.key, Some(Finding::Answered));
-        tests += 1;
+    let mut trials = 0;
+    while let Some(trial) = balancer.pick_trial(time(now)) {
+        assert_eq!(trial.target.as_str(), "t-1");
+        assert_eq!(balancer.pick_trial(time(now)), None, "two trials at once");
+        balancer.finish(time(now + 50), trial.key, Some(Finding::Answered));
+        trials += 1;
         now += 700;
     }
-    assert!((2..=4).contains(&tests), "{tests}");
+    assert!((2..=4).contains(&trials), "{trials}");
     let picked = (0..40).any(|step| {
         let pick = pick(&mut balancer, now + step, RequestClass::Once).unwrap();
         balancer.finish(time(now + step), pick.key, Some(Finding::Answered));
         pick.target.as_str() == "t-1"
     });
-    assert!(picked, "the cleared target gets no work");
+    assert!(picked, "the cleared target receives no requests");
 }
 
-/// Guards against an address that is used by a target which another one has replaced, and against a
-/// restarted target that inherits what was held against its earlier life.
+/// A target whose address another target has taken over must receive no requests, and a restarted
+/// one must not inherit the findings of its earlier incarnation.
 #[test]
-fn replaced_target_is_left_until_it_starts_again() {
+fn replaced_target_is_avoided_until_it_restarts() {
     let mut balancer = balancer(&[member("t-1", "north")]);
     let first = pick(&mut balancer, 100, RequestClass::Once).unwrap();
     balancer.finish(time(110), first.key, Some(Finding::Replaced));
@@ -194,17 +194,19 @@
     assert!(pick(&mut balancer, 210, RequestClass::Once).is_some());
 }
 
-/// Guards against errors, which healthy targets give now and then, that take more than the floor's
-/// rest of the targets away, and against a floor that holds failing targets in use.
+/// Server errors, which healthy targets return occasionally, must not exclude more targets than the
+/// floor allows, and the floor must not keep failing targets in use.
 #[test]
-fn floor_holds_for_errors_and_not_for_breaks() {
+fn floor_applies_to_errors_but_not_to_broken_answers() {
     let names: Vec<String> = (0..10).map(|number| format!("t-{number}")).collect();
     let members: Vec<BalancedMember> = names.iter().map(|name| member(name, "north")).collect();
     for (finding, least) in [(Finding::ServerError, 7), (Finding::Broken, 4)] {
         let mut balancer = balancer(&members);
-        let findings: Vec<ReportedFinding> =
-            names[..6].iter().map(|name| told(name, finding)).collect();
-        balancer.hear_findings(time(100), &findings);
+        let findings: Vec<ReportedFinding> = names[..6]
+            .iter()
+            .map(|name| reported(name, finding))
+            .collect();
+        balancer.apply_findings(time(100), &findings);
         let mut used = std::collections::BTreeSet::new();
         while let Some(pick) = pick(&mut balancer, 110, RequestClass::Once) {
             used.insert(pick.target.to_string());
@@ -216,20 +218,20 @@
     }
 }
 
-/// Guards against at-most-once work on a suspected target of the floor while a target elsewhere is
-/// under no suspicion.
+/// At-most-once requests must not go to a suspected target, trusted only because of the floor,
+/// while a remote target is not suspected.
 #[test]
-fn clear_target_elsewhere_goes_before_a_suspected_one_of_the_floor() {
+fn trusted_remote_target_precedes_a_suspected_local_one() {
     let mut balancer = balancer(&[member("t-near", "north"), member("t-far", "south")]);
-    balancer.hear_findings(time(100), &[told("t-near", Finding::ServerError)]);
+    balancer.apply_findings(time(100), &[reported("t-near", Finding::ServerError)]);
     let pick = pick(&mut balancer, 110, RequestClass::Once).unwrap();
     assert_eq!(pick.target.to_string(), "t-far");
 }
 
-/// Guards against all gateways testing a suspected target at the same moment, and against a target
-/// that stays suspected where its home doesn't test it.
+/// Gateways must not all try a suspected target at the same moment, and a target must not stay
+/// suspected where no gateway tries it.
 #[test]
-fn home_tests_a_suspected_target_and_the_others_forget() {
+fn suspected_targets_are_tried_only_within_the_subset() {
     let others: Vec<GatewayPlace> = (2..6)
         .map(|number| GatewayPlace {
             vm: format!("gateway-{number}").parse().unwrap(),
@@ -242,27 +244,30 @@
     balancer.set_gateways(&others);
     let findings: Vec<ReportedFinding> = names
         .iter()
-        .map(|name| told(name, Finding::Broken))
+        .map(|name| reported(name, Finding::Broken))
         .collect();
-    balancer.hear_findings(time(0), &findings);
-    let mut tests_until = |ms: u64| {
+    balancer.apply_findings(time(0), &findings);
+    let mut trials_until = |ms: u64| {
         let mut count = 0;
-        while balancer.pick_test(time(ms)).is_some() {
+        while balancer.pick_trial(time(ms)).is_some() {
             count += 1;
         }
         count
     };
-    let at_home = tests_until(1_500);
-    assert!((1..=5).contains(&at_home), "{at_home} of 20 are at home");
-    assert_eq!(tests_until(5_000), 0);
+    let in_subset = trials_until(1_500);
+    assert!(
+        (1..=5).contains(&in_subset),
+        "{in_subset} of 20 are in the subset"
+    );
+    assert_eq!(trials_until(5_000), 0);
     let trusted = balancer.summary(time(6_000)).trusted;
     assert_eq!(trusted, 20);
 }
 
-/// Guards against orders that are spread over targets which nobody has heard of while hardly any is
+/// At-most-once requests must not be spread over targets without a recent proof while hardly any is
 /// lost.
 #[test]
-fn orders_stay_on_proven_targets_while_none_is_lost() {
+fn at_most_once_requests_stay_on_proven_targets() {
     let names: Vec<String> = (0..10).map(|number| format!("t-{number}")).collect();
     let members: Vec<BalancedMember> = names.iter().map(|name| member(name, "north")).collect();
     let mut balancer = balancer(&members);
