--- a/crates/auburnbridge_policy/examples/dispatch_cost.rs
+++ b/crates/auburnbridge_policy/examples/dispatch_cost.rs
@@ -1,9 +1,9 @@
-//! Measures the time of a gateway's decisions and of the reports that it hears.
+//! Measures the time that a gateway takes to dispatch a request and to apply a load report.
 //!
 //! `cargo run --release -p auburnbridge_policy --example dispatch_cost`
 //!
-//! Two sizes: 26 targets with 13 gateways, and 400 targets with 46. Each other gateway has requests in
-//! flight on a twentieth of the targets; one target in ten has failed lately.
+//! Two sizes: 26 targets with 13 gateways, and 400 targets with 46. Each other gateway has requests
+//! in flight on a twentieth of the targets; one target in ten has failed recently.
 
 #![expect(
     clippy::cast_precision_loss,
@@ -31,13 +31,13 @@
         let mut dispatcher = dispatcher(targets, gateways);
         let place = measure(|_| place_and_finish(&mut dispatcher));
         println!("  place and finish an at-most-once request: {place}");
-        let senders: Vec<VmId> = (1..gateways).map(vm).collect();
+        let reporters: Vec<VmId> = (1..gateways).map(vm).collect();
         let reports: Vec<LoadReport> = (0..64).map(|offset| report(targets, offset)).collect();
-        let hear = measure(|call| {
+        let apply = measure(|call| {
             let report = reports[call % reports.len()].clone();
-            dispatcher.hear_load(START, &senders[call % senders.len()], report);
+            dispatcher.hear_load(START, &reporters[call % reporters.len()], report);
         });
-        println!("  hear a report of requests in flight: {hear}");
+        println!("  apply a report of requests in flight: {apply}");
     }
 }
 
@@ -51,7 +51,7 @@
     };
     match black_box(dispatcher.place(START, &need, || ())) {
         Placement::Start(pick) => dispatcher.finish(START, pick.key, Some(Finding::Answered)),
-        other => panic!("there is room, but the request got {other:?}"),
+        other => panic!("a slot is free, but the request got {other:?}"),
     }
 }
 
@@ -125,7 +125,8 @@
     format!("gateway-{at}").parse().expect("the name is valid")
 }
 
-/// Time of one call, which gets its number: median, least and greatest of the rounds.
+/// Time per call in nanoseconds: median, minimum and maximum of the rounds. `call` receives its
+/// number.
 fn measure(mut call: impl FnMut(usize)) -> String {
     let mut rounds: Vec<f64> = (0..ROUNDS)
         .map(|_| {
--- a/crates/auburnbridge_policy/src/balance/answer_times.rs
+++ b/crates/auburnbridge_policy/src/balance/answer_times.rs
@@ -1,4 +1,4 @@
-//! The usual answer time of a service, and what unusual ones mean.
+//! Average answer time of a service, from which slow and silent targets and hedged requests follow.
 
 use auburnbridge_types::Millis;
 
@@ -6,23 +6,23 @@
 
 /// Weight of the newest answer in the average answer time.
 const NEWEST_WEIGHT: f64 = 0.05;
-/// Answer time that is assumed before any was measured.
-const ASSUMED_MS: f64 = 250.0;
-/// Multiple of the average answer time from which an answer is slow. Rare long requests take five
+/// Average that is assumed before the first answer.
+const INITIAL_AVERAGE_MS: f64 = 250.0;
+/// Multiple of the average answer time above which an answer is slow. Rare long requests take five
 /// times the usual time.
 const SLOW_FACTOR: f64 = 3.0;
-/// The same for a target that has not answered yet.
+/// Multiple of the average answer time after which a target without an answer is silent.
 const SILENT_FACTOR: u64 = 3;
-/// Shortest time after which a target counts as silent.
-const LEAST_SILENT: Millis = Millis(300);
-/// Time that is left for the answer of a second target, in percent of the average answer time. Two in
+/// Lower bound of the time after which a target counts as silent.
+const MIN_SILENT_AFTER: Millis = Millis(300);
+/// Time reserved for the answer to a hedged request, in percent of the average answer time. Two in
 /// three requests take less.
-const SECOND_ANSWER_PERCENT: u64 = 125;
-/// Time after which most answers have come, in percent of the average answer time; one in twenty
+const HEDGE_ANSWER_PERCENT: u64 = 125;
+/// Time within which most answers arrive, in percent of the average answer time; one in twenty
 /// takes longer.
-const USUAL_PERCENT: u64 = 150;
+const MOST_ANSWERS_PERCENT: u64 = 150;
 
-/// The average answer time of a service on one gateway.
+/// Moving average of a service's answer time, as measured by one gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AnswerTimes {
     average_ms: f64,
@@ -31,15 +31,16 @@
 impl Default for AnswerTimes {
     fn default() -> Self {
         Self {
-            average_ms: ASSUMED_MS,
+            average_ms: INITIAL_AVERAGE_MS,
         }
     }
 }
 
 impl AnswerTimes {
-    /// Takes an answer after `time` into the average; gives the finding that it is. Where its silence
-    /// has counted against the target already, it is an answer like any other.
-    pub fn judge(&mut self, time: Millis, was_silent: bool) -> Finding {
+    /// Adds an answer that took `time` to the average and classifies it. `was_silent` tells that
+    /// the target was already found silent for this request, in which case a late answer isn't
+    /// found slow as well.
+    pub fn record(&mut self, time: Millis, was_silent: bool) -> Finding {
         let time_ms = f64::from(u32::try_from(time.0).unwrap_or(u32::MAX));
         let is_slow = time_ms > self.average_ms * SLOW_FACTOR;
         self.average_ms += (time_ms - self.average_ms) * NEWEST_WEIGHT;
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The average.
+    /// Average answer time.
     pub fn average(&self) -> Millis {
         #[expect(
             clippy::cast_possible_truncation,
@@ -60,19 +61,20 @@
         Millis(self.average_ms as u64)
     }
 
-    /// Time without an answer after which a target counts as silent. Two in a hundred requests take
-    /// longer on a healthy target.
+    /// Time without an answer after which a target counts as silent. On a healthy target two in a
+    /// hundred requests take longer.
     pub fn silent_after(&self) -> Millis {
-        Millis(self.average().0 * SILENT_FACTOR).max(LEAST_SILENT)
+        Millis(self.average().0 * SILENT_FACTOR).max(MIN_SILENT_AFTER)
     }
 
-    /// Time without an answer after which an idempotent request goes to a second target, when `left`
-    /// remains until its objective: early enough for an answer within the objective, but not before
-    /// most answers come.
+    /// Time without an answer after which an idempotent request is hedged, that is, also sent to a
+    /// second target, if `left` remains until its objective. The second answer can still meet the
+    /// objective, but requests are not hedged before most answers arrive, and at the latest when
+    /// the first target counts as silent.
     pub fn second_send_after(&self, left: Millis) -> Millis {
         let average = self.average().0;
-        let latest = left.0.saturating_sub(average * SECOND_ANSWER_PERCENT / 100);
-        let usual = average * USUAL_PERCENT / 100;
-        Millis(latest.max(usual)).min(self.silent_after())
+        let latest = left.0.saturating_sub(average * HEDGE_ANSWER_PERCENT / 100);
+        let earliest = average * MOST_ANSWERS_PERCENT / 100;
+        Millis(latest.max(earliest)).min(self.silent_after())
     }
 }
--- a/crates/auburnbridge_policy/src/balance/balancer.rs
+++ b/crates/auburnbridge_policy/src/balance/balancer.rs
@@ -193,7 +193,7 @@
 
     /// Adds an answer that took `time` to the average answer time and classifies it.
     pub fn record_answer(&mut self, time: Millis, was_silent: bool) -> Finding {
-        self.answer_times.judge(time, was_silent)
+        self.answer_times.record(time, was_silent)
     }
 
     /// Answer times of the service.
--- a/crates/auburnbridge_policy/src/balance/dispatcher.rs
+++ b/crates/auburnbridge_policy/src/balance/dispatcher.rs
@@ -1,4 +1,4 @@
-//! One service on one gateway: which request starts next, on which target, and which is refused.
+//! Dispatch of one service on one gateway: starts, queues or refuses each request.
 
 use auburnbridge_types::{Millis, Timestamp, VmId};
 use rand::SeedableRng;
@@ -8,56 +8,56 @@
 use super::balancer::{Balancer, BalancerOptions, Pick, TargetSummary};
 use super::evidence::Finding;
 use super::report::{LoadReport, ReportedFinding};
-use super::send_budget::{SendBudget, SendBudgetOptions};
+use super::resend_budget::{ResendBudget, SendBudgetOptions};
 use super::subset::GatewayPlace;
 use super::target::{BalancedKey, BalancedMember};
-use super::waiting::{Capacity, EventRate, Offer, Refusal, WaitQueue, WaitingKey};
+use super::wait_queue::{Capacity, EventRate, Refusal, WaitQueue, WaitRequest, WaitingKey};
 use crate::RequestClass;
 
-/// Share of the budget of further sends that is kept for requests whose send has failed: tests of
-/// suspected targets, two of three of which need a second send, and second sends beside one that may
-/// still be answered leave it.
-const KEPT_SHARE: f64 = 0.25;
+/// Share of the resend budget reserved for requests whose send has failed. It is not available for
+/// trials of suspected targets, two thirds of which need a resend, nor for hedged requests, whose
+/// first send may still be answered.
+const RESERVED_SHARE: f64 = 0.25;
 
 /// Settings of a [`Dispatcher`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct DispatcherOptions {
-    /// Choice of targets.
+    /// Target selection.
     pub balancer: BalancerOptions,
-    /// Sends beyond the first one of each request.
+    /// Budget of resends.
     pub sends: SendBudgetOptions,
-    /// Seed of the random choices.
+    /// Seed of the random selection.
     pub seed: u64,
 }
 
-/// What a request needs.
+/// Requirements of a request that needs a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Need<'a> {
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub class: RequestClass,
-    /// Rank among the waiting requests; 0 goes first.
+    /// Priority among waiting requests; 0 is the highest.
     pub rank: u32,
-    /// When nobody waits for the answer any more.
+    /// Time after which the caller no longer waits for the answer.
     pub deadline: Timestamp,
-    /// Until then the answer is of full use.
+    /// Latency objective: until this time an answer has its full value.
     pub objective: Timestamp,
-    /// Targets that had the request already.
+    /// Targets to which the request was already sent.
     pub tried: &'a [BalancedKey],
 }
 
-/// What becomes of a request that asks for a target.
+/// Result of [`Dispatcher::place`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Placement {
-    /// It goes to this target now.
+    /// The request starts on this target now.
     Start(Pick),
-    /// It waits for a free slot, at most for `longest`.
+    /// The request waits for a free slot, at most for `longest`.
     Wait {
-        /// Its place.
+        /// Handle for [`Dispatcher::leave`].
         key: WaitingKey,
-        /// Time after which it can't be answered any more.
+        /// Time after which it can no longer be answered before its deadline.
         longest: Millis,
     },
-    /// It can't be served in time.
+    /// The request can't be served in time.
     Refuse(Refusal),
 }
 
@@ -65,20 +65,22 @@
 struct Waiter<T> {
     class: RequestClass,
     tried: Vec<BalancedKey>,
-    /// From then on it takes a busy target, unless a better rank waits.
-    impatient_at: Timestamp,
+    /// Time from which the request may start on a busy target, unless one of a higher priority
+    /// waits.
+    busy_allowed_at: Timestamp,
     item: T,
 }
 
-/// The targets and the waiting requests of one service; `T` is the handle of a waiting request.
+/// Targets, waiting requests and resend budget of one service; `T` is the handle of a waiting
+/// request.
 #[derive(Clone, Debug)]
 pub struct Dispatcher<T> {
     balancer: Balancer,
     waiting: WaitQueue<Waiter<T>>,
-    budget: SendBudget,
+    budget: ResendBudget,
     rng: StdRng,
-    /// Requests that ended on a target.
-    ended: EventRate,
+    /// Rate of requests that ended on a target.
+    completions: EventRate,
 }
 
 impl<T> Dispatcher<T> {
@@ -87,50 +89,49 @@
         Self {
             balancer: Balancer::new(options.balancer.clone()),
             waiting: WaitQueue::default(),
-            budget: SendBudget::new(options.sends),
+            budget: ResendBudget::new(options.sends),
             rng: StdRng::seed_from_u64(options.seed),
-            ended: EventRate::default(),
+            completions: EventRate::default(),
         }
     }
 
-    /// Takes over the targets that take work.
+    /// Replaces the set of targets that accept requests.
     pub fn set_members(&mut self, now: Timestamp, members: &[BalancedMember]) {
         self.balancer.set_members(now, members);
     }
 
-    /// Takes over the other gateways.
+    /// Replaces the set of other gateways.
     pub fn set_gateways(&mut self, others: &[GatewayPlace]) {
         self.balancer.set_gateways(others);
     }
 
-    /// Counts a request, for the budget of further sends and the estimates of waits.
-    pub fn record_request(&mut self, now: Timestamp, rank: u32) {
+    /// Counts a request, for the resend budget and the estimates of waits.
+    pub fn record_request(&mut self, now: Timestamp, priority: u32) {
         self.budget.record_request(now);
-        self.waiting.record_arrival(now, rank);
+        self.waiting.record_arrival(now, priority);
     }
 
-    /// Takes one further send from the budget if it has one.
+    /// Takes a resend from the budget if any remains.
     pub fn try_send_again(&mut self, now: Timestamp) -> bool {
-        self.budget
-            .try_send_again(now, self.balancer.gateway_count())
+        self.budget.try_resend(now, self.balancer.gateway_count())
     }
 
-    /// Whether the budget has more than what is kept for requests whose send has failed.
-    fn has_spare_sends(&mut self, now: Timestamp) -> bool {
+    /// Whether the budget has a resend left beyond the share reserved for failed sends.
+    fn has_unreserved_resends(&mut self, now: Timestamp) -> bool {
         self.budget
-            .has_left(now, self.balancer.gateway_count(), KEPT_SHARE)
+            .has_remaining(now, self.balancer.gateway_count(), RESERVED_SHARE)
     }
 
-    /// Places a request; `item` is made only if it waits.
+    /// Starts, queues or refuses a request; `item` is called only if it is queued.
     pub fn place(
         &mut self,
         now: Timestamp,
         need: &Need<'_>,
         item: impl FnOnce() -> T,
     ) -> Placement {
-        let may_test = need.class == RequestClass::Idempotent && need.tried.is_empty();
-        if may_test
-            && self.has_spare_sends(now)
+        let allows_trial = need.class == RequestClass::Idempotent && need.tried.is_empty();
+        if allows_trial
+            && self.has_unreserved_resends(now)
             && let Some(pick) = self.balancer.pick_trial(now)
         {
             return Placement::Start(pick);
@@ -138,7 +139,7 @@
         let is_next = self
             .waiting
             .first()
-            .is_none_or(|(first, _)| first.rank() > need.rank);
+            .is_none_or(|(first, _)| first.priority() > need.rank);
         if is_next
             && let Some(pick) = self
                 .balancer
@@ -148,7 +149,7 @@
         }
         let summary = self.balancer.summary(now);
         if summary.trusted == 0 {
-            // Waiting for a trusted target would be waiting for luck.
+            // No trusted target is left whose slots could become free.
             return match self
                 .balancer
                 .pick_any(now, need.class, need.tried, &mut self.rng)
@@ -158,41 +159,41 @@
             };
         }
         let capacity = self.capacity(now, summary);
-        let offer = Offer {
-            rank: need.rank,
+        let request = WaitRequest {
+            priority: need.rank,
             deadline: need.deadline,
             objective: need.objective,
             item: Waiter {
                 class: need.class,
                 tried: need.tried.to_vec(),
-                impatient_at: now.after(patience(now, need, &capacity)),
+                busy_allowed_at: now.after(busy_fallback_delay(now, need, &capacity)),
                 item: item(),
             },
         };
-        match self.waiting.offer(now, offer, &capacity) {
+        match self.waiting.try_enqueue(now, request, &capacity) {
             Ok(key) => Placement::Wait {
                 key,
                 longest: Millis(
                     need.deadline
                         .since(now)
                         .0
-                        .saturating_sub(capacity.needed().0),
+                        .saturating_sub(capacity.min_remaining().0),
                 ),
             },
             Err(refusal) => Placement::Refuse(refusal),
         }
     }
 
-    /// Gives up the place of a waiting request; `false` if it was started already.
+    /// Removes a waiting request; returns `false` if it has already been started.
     pub fn leave(&mut self, key: WaitingKey) -> bool {
         self.waiting.remove(key).is_some()
     }
 
-    /// Takes out the waiting request that starts now, with its target. To be called after each change
-    /// and, while requests wait, at intervals of some ten milliseconds.
+    /// Removes and returns a waiting request that can start now, with its target. To be called
+    /// after each change and, while requests wait, at intervals of about ten milliseconds.
     ///
-    /// The first one of each class is looked at, since idempotent ones may use targets that others
-    /// avoid.
+    /// The first request of each class is considered, since idempotent requests may use targets
+    /// that at-most-once requests avoid.
     pub fn next_start(&mut self, now: Timestamp) -> Option<(T, Pick)> {
         for class in [RequestClass::Once, RequestClass::Idempotent] {
             let first = self
@@ -203,8 +204,11 @@
                 continue;
             };
             let mut pick = self.balancer.pick(now, class, &waiter.tried, &mut self.rng);
-            let is_impatient = now >= waiter.impatient_at;
-            if pick.is_none() && is_impatient && self.waiting.is_best_rank(now, key.rank()) {
+            let allows_busy = now >= waiter.busy_allowed_at;
+            if pick.is_none()
+                && allows_busy
+                && self.waiting.is_highest_priority(now, key.priority())
+            {
                 pick = self
                     .balancer
                     .pick_busy(now, class, &waiter.tried, &mut self.rng);
@@ -217,27 +221,28 @@
         None
     }
 
-    /// Picks a target with a free slot, if there is one now and no request waits for it.
+    /// Picks a target with a free slot for a hedged request, if no request waits and the budget has
+    /// an unreserved resend.
     pub fn pick_free(&mut self, now: Timestamp, need: &Need<'_>) -> Option<Pick> {
-        if !self.waiting.is_empty() || !self.has_spare_sends(now) {
+        if !self.waiting.is_empty() || !self.has_unreserved_resends(now) {
             return None;
         }
         self.balancer
             .pick(now, need.class, need.tried, &mut self.rng)
     }
 
-    /// Takes what a request that is still in flight says about its target as evidence.
+    /// Records a finding about the target of a request that is still in flight.
     pub fn observe(&mut self, now: Timestamp, key: BalancedKey, finding: Finding) {
         self.balancer.observe(now, key, finding);
     }
 
-    /// Ends a request on a target with what it says about the target, if anything.
+    /// Ends a request on a target and records its finding, if any.
     pub fn finish(&mut self, now: Timestamp, key: BalancedKey, finding: Option<Finding>) {
-        self.ended.record(now);
+        self.completions.record(now);
         self.balancer.finish(now, key, finding);
     }
 
-    /// The finding that an answer after `time` is.
+    /// Adds an answer that took `time` to the average answer time and classifies it.
     pub fn judge_answer(&mut self, time: Millis, was_silent: bool) -> Finding {
         self.balancer.record_answer(time, was_silent)
     }
@@ -247,34 +252,34 @@
         self.balancer.answer_times()
     }
 
-    /// When a request of the rank that is refused may come back.
-    pub fn refusal(&self, now: Timestamp, rank: u32) -> Refusal {
+    /// The refusal of a request of this priority, with the time after which it may be retried.
+    pub fn refusal(&self, now: Timestamp, priority: u32) -> Refusal {
         let summary = self.balancer.summary(now);
         self.waiting
-            .refusal(now, rank, &self.capacity(now, summary))
+            .refusal(now, priority, &self.capacity(now, summary))
     }
 
-    /// Takes over what another gateway found.
+    /// Records findings reported by another gateway.
     pub fn hear_findings(&mut self, now: Timestamp, findings: &[ReportedFinding]) {
         self.balancer.apply_findings(now, findings);
     }
 
-    /// Takes over what another gateway has in flight.
+    /// Records the requests in flight that another gateway reports.
     pub fn hear_load(&mut self, now: Timestamp, from: &VmId, report: LoadReport) {
         self.balancer.apply_load_report(now, from, report);
     }
 
-    /// The findings that the other gateways have not been told yet.
+    /// Removes and returns the findings to report to the other gateways.
     pub fn take_unreported(&mut self) -> Vec<ReportedFinding> {
         self.balancer.take_unreported()
     }
 
-    /// What this gateway has in flight.
+    /// Report of this gateway's requests in flight.
     pub fn load_report(&self, now: Timestamp) -> LoadReport {
         self.balancer.load_report(now)
     }
 
-    /// Whether most slots are taken.
+    /// Whether most slots are in use.
     pub fn is_crowded(&self, now: Timestamp) -> bool {
         self.balancer.is_crowded(now)
     }
@@ -290,14 +295,14 @@
             in_flight: summary.in_flight,
             gateways: self.balancer.gateway_count(),
             latency: self.balancer.answer_times().average(),
-            ended_per_ms: self.ended.per_ms(now),
+            completions_per_ms: self.completions.per_ms(now),
         }
     }
 }
 
-/// Wait for a free slot after which a busy target is the better choice: half of what the objective
-/// leaves.
-fn patience(now: Timestamp, need: &Need<'_>, capacity: &Capacity) -> Millis {
+/// Wait for a free slot after which a busy target is the better choice: half of the time that
+/// remains for a timely answer.
+fn busy_fallback_delay(now: Timestamp, need: &Need<'_>, capacity: &Capacity) -> Millis {
     let left = need.objective.since(now).0;
-    Millis(left.saturating_sub(capacity.needed().0) / 2)
+    Millis(left.saturating_sub(capacity.min_remaining().0) / 2)
 }
--- /dev/null
+++ b/crates/auburnbridge_policy/src/balance/wait_queue.rs
@@ -0,0 +1,279 @@
+//! Queue of requests that wait on one gateway for a free slot of their service.
+//!
+//! Requests start by priority, then by deadline. A request that can't be answered before its
+//! deadline is refused on arrival, so that its caller can use the time otherwise. The estimate of
+//! the wait counts the arrivals of each priority, since a waiting request is also overtaken by
+//! requests of a higher priority that arrive later.
+
+use std::collections::BTreeMap;
+
+use auburnbridge_types::{Millis, Timestamp};
+
+/// Capacity of the queue; usually the estimate of the wait refuses requests before it is reached.
+const MAX_WAITING: usize = 512;
+/// Share of the average answer time that must remain before a deadline when a request starts. Half
+/// of the requests take less than the average.
+const MIN_REMAINING_SHARE: f64 = 0.9;
+/// Share of an equal part of the slots that a gateway can expect at least.
+const MIN_FAIR_SHARE: f64 = 0.5;
+/// Share of the throughput that requests of higher priorities must leave for a request to be
+/// queued.
+const MIN_SPARE_SHARE: f64 = 0.05;
+/// Estimated waits are extended by their value divided by this, since half of them are too short.
+const WAIT_MARGIN_DIVISOR: u64 = 4;
+/// Time without an empty queue after which an overload counts as sustained.
+const SUSTAINED_OVERLOAD: Millis = Millis(1_000);
+/// Time constant of the exponential decay of event rates.
+const RATE_TIME_CONSTANT: Millis = Millis(1_000);
+/// Lower bound of [`Refusal::retry_after`]; less is within the error of the estimate.
+const MIN_RETRY_AFTER: Millis = Millis(100);
+/// Upper bound of [`Refusal::retry_after`].
+const MAX_RETRY_AFTER: Millis = Millis(5_000);
+
+/// Capacity of a service, as seen by one gateway.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Capacity {
+    /// Slots of the targets that receive requests.
+    pub slots: u32,
+    /// Requests in flight from all gateways.
+    pub in_flight: u32,
+    /// Number of gateways, this one included.
+    pub gateways: usize,
+    /// Average answer time.
+    pub latency: Millis,
+    /// Recent rate of requests of this gateway that ended on a target, per millisecond.
+    pub completions_per_ms: f64,
+}
+
+/// A request to be queued.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WaitRequest<T> {
+    /// Priority; 0 is the highest.
+    pub priority: u32,
+    /// Time after which the caller no longer waits for the answer.
+    pub deadline: Timestamp,
+    /// Latency objective: until this time an answer has its full value.
+    pub objective: Timestamp,
+    /// Handle of the request.
+    pub item: T,
+}
+
+/// Refusal of a request that can't be answered in time. The request has not run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Refusal {
+    /// Time after which the service is expected to have capacity.
+    pub retry_after: Millis,
+}
+
+/// Handle of a waiting request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct WaitingKey {
+    priority: u32,
+    deadline: Timestamp,
+    number: u64,
+}
+
+impl WaitingKey {
+    /// Priority of the request.
+    pub fn priority(self) -> u32 {
+        self.priority
+    }
+}
+
+/// The waiting requests of one service.
+#[derive(Clone, Debug)]
+pub struct WaitQueue<T> {
+    waiting: BTreeMap<WaitingKey, T>,
+    next_number: u64,
+    arrivals: BTreeMap<u32, EventRate>,
+    /// Time since which the queue has not been empty.
+    nonempty_since: Timestamp,
+}
+
+/// Rate of recent events, as an exponentially decaying count.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct EventRate {
+    count: f64,
+    at: Timestamp,
+}
+
+impl EventRate {
+    /// Counts an event.
+    pub fn record(&mut self, now: Timestamp) {
+        self.decay(now);
+        self.count += 1.0;
+    }
+
+    /// Events per millisecond.
+    pub fn per_ms(mut self, now: Timestamp) -> f64 {
+        self.decay(now);
+        self.count / millis_to_f64(RATE_TIME_CONSTANT)
+    }
+
+    fn decay(&mut self, now: Timestamp) {
+        let age = millis_to_f64(now.since(self.at));
+        self.count *= (-age / millis_to_f64(RATE_TIME_CONSTANT)).exp();
+        self.at = now;
+    }
+}
+
+impl<T> Default for WaitQueue<T> {
+    fn default() -> Self {
+        Self {
+            waiting: BTreeMap::new(),
+            next_number: 0,
+            arrivals: BTreeMap::new(),
+            nonempty_since: Timestamp(0),
+        }
+    }
+}
+
+impl Capacity {
+    /// Requests that this gateway can expect to complete per millisecond: as many as recently,
+    /// which reflects its share of the slots, and at least half of an equal share.
+    fn throughput_per_ms(&self) -> f64 {
+        let fair_share = f64::from(self.slots.max(1)) / count_to_f64(self.gateways.max(1));
+        let min_rate = fair_share * MIN_FAIR_SHARE / millis_to_f64(self.latency).max(1.0);
+        self.completions_per_ms.max(min_rate)
+    }
+
+    /// Whether a slot is free now.
+    fn has_free_slot(&self) -> bool {
+        self.in_flight < self.slots
+    }
+
+    /// Wait behind `ahead` queued requests while requests of higher priorities arrive at the given
+    /// rate.
+    fn estimated_wait(&self, ahead: usize, higher_priority_per_ms: f64) -> Millis {
+        if self.has_free_slot() && ahead == 0 {
+            return Millis(0);
+        }
+        let rate = self.throughput_per_ms();
+        let spare = rate - higher_priority_per_ms;
+        if spare < rate * MIN_SPARE_SHARE {
+            return MAX_RETRY_AFTER;
+        }
+        f64_to_millis(count_to_f64(ahead + 1) / spare)
+    }
+
+    /// Time before its deadline by which a request has to start.
+    pub fn min_remaining(&self) -> Millis {
+        f64_to_millis(millis_to_f64(self.latency) * MIN_REMAINING_SHARE)
+    }
+}
+
+impl<T> WaitQueue<T> {
+    /// Counts the arrival of a request, whether it waits or not.
+    pub fn record_arrival(&mut self, now: Timestamp, priority: u32) {
+        self.arrivals.entry(priority).or_default().record(now);
+    }
+
+    /// Rate of arrivals with a higher priority than `priority`.
+    fn higher_priority_per_ms(&self, now: Timestamp, priority: u32) -> f64 {
+        self.arrivals
+            .range(..priority)
+            .map(|(_, arrivals)| arrivals.per_ms(now))
+            .sum()
+    }
+
+    /// Whether no request of a higher priority waits or has arrived recently.
+    pub fn is_highest_priority(&self, now: Timestamp, priority: u32) -> bool {
+        let is_first = self.first().is_none_or(|(key, _)| key.priority >= priority);
+        is_first
+            && self.higher_priority_per_ms(now, priority) * millis_to_f64(RATE_TIME_CONSTANT) < 0.5
+    }
+
+    /// Queues a request, or refuses it if the estimated wait is too long for an answer in time: by
+    /// its deadline, or by its objective under sustained overload.
+    pub fn try_enqueue(
+        &mut self,
+        now: Timestamp,
+        request: WaitRequest<T>,
+        capacity: &Capacity,
+    ) -> Result<WaitingKey, Refusal> {
+        let key = WaitingKey {
+            priority: request.priority,
+            deadline: request.deadline,
+            number: self.next_number,
+        };
+        let ahead = self.waiting.range(..key).count();
+        let higher_priority_per_ms = self.higher_priority_per_ms(now, request.priority);
+        let wait = capacity.estimated_wait(ahead, higher_priority_per_ms);
+        let wait = Millis(wait.0 + wait.0 / WAIT_MARGIN_DIVISOR);
+        let until = if self.is_overload_sustained(now) {
+            request.objective
+        } else {
+            request.deadline
+        };
+        let is_too_late =
+            wait > Millis(0) && now.after(wait).after(capacity.min_remaining()) > until;
+        if is_too_late || self.waiting.len() >= MAX_WAITING {
+            return Err(self.refusal(now, request.priority, capacity));
+        }
+        self.next_number += 1;
+        if self.waiting.is_empty() {
+            self.nonempty_since = now;
+        }
+        self.waiting.insert(key, request.item);
+        Ok(key)
+    }
+
+    /// Whether the overload is sustained. Queueing up to the deadlines would then make every answer
+    /// late without serving more requests.
+    fn is_overload_sustained(&self, now: Timestamp) -> bool {
+        !self.waiting.is_empty() && now.since(self.nonempty_since) >= SUSTAINED_OVERLOAD
+    }
+
+    /// The refusal of a request that can't get a slot in time.
+    pub fn refusal(&self, now: Timestamp, priority: u32, capacity: &Capacity) -> Refusal {
+        let higher_priority_per_ms = self.higher_priority_per_ms(now, priority);
+        let wait = capacity.estimated_wait(self.waiting.len(), higher_priority_per_ms);
+        Refusal {
+            retry_after: wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
+        }
+    }
+
+    /// The request to start next.
+    pub fn first(&self) -> Option<(WaitingKey, &T)> {
+        self.waiting
+            .first_key_value()
+            .map(|(key, item)| (*key, item))
+    }
+
+    /// The waiting requests in the order in which they start.
+    pub fn iter(&self) -> impl Iterator<Item = (WaitingKey, &T)> {
+        self.waiting.iter().map(|(key, item)| (*key, item))
+    }
+
+    /// Removes a request.
+    pub fn remove(&mut self, key: WaitingKey) -> Option<T> {
+        self.waiting.remove(&key)
+    }
+
+    /// Number of waiting requests.
+    pub fn len(&self) -> usize {
+        self.waiting.len()
+    }
+
+    /// Whether no request waits.
+    pub fn is_empty(&self) -> bool {
+        self.waiting.is_empty()
+    }
+}
+
+fn count_to_f64(value: usize) -> f64 {
+    f64::from(u32::try_from(value).unwrap_or(u32::MAX))
+}
+
+fn millis_to_f64(time: Millis) -> f64 {
+    f64::from(u32::try_from(time.0).unwrap_or(u32::MAX))
+}
+
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "the value is clamped to the range of the type"
+)]
+fn f64_to_millis(value: f64) -> Millis {
+    Millis(value.clamp(0.0, f64::from(u32::MAX)) as u64)
+}
--- a/crates/auburnbridge_policy/tests/send_budget.rs
+++ b/crates/auburnbridge_policy/tests/resend_budget.rs
@@ -1,9 +1,9 @@
-//! Guards the budget of further sends: its bound in every window, over all gateways together.
+//! Tests of the resend budget: its bound in every window over all gateways, and its reserved share.
 
 use auburnbridge_policy::RequestClass;
 use auburnbridge_policy::balance::{
     BalancedMember, BalancerOptions, Dispatcher, DispatcherOptions, Finding, GatewayPlace, Need,
-    Placement, ReportedFinding, SendBudget, SendBudgetOptions, TargetHash,
+    Placement, ReportedFinding, ResendBudget, SendBudgetOptions, TargetHash,
 };
 use auburnbridge_types::{Incarnation, Millis, Slots, Timestamp};
 use proptest::prelude::*;
@@ -19,56 +19,54 @@
 }
 
 proptest! {
-    /// Guards against a window, wherever it begins, with more further sends than the bound of all
-    /// gateways allows, however their requests and failures are spread.
+    /// No window may contain more resends than the bound over all gateways allows, wherever it
+    /// starts and however requests and failures are spread over the gateways.
     #[test]
     fn every_window_keeps_the_bound(
         gateways in 1_usize..8,
         events in prop::collection::vec((0_usize..8, 0_u64..200, 0_u8..3), 1..600),
     ) {
-        let mut budgets: Vec<SendBudget> =
-            (0..gateways).map(|_| SendBudget::new(OPTIONS)).collect();
+        let mut budgets: Vec<ResendBudget> =
+            (0..gateways).map(|_| ResendBudget::new(OPTIONS)).collect();
         let mut now = 0;
-        let (mut requests, mut further) = (Vec::new(), Vec::new());
+        let (mut requests, mut resends) = (Vec::new(), Vec::new());
         for (gateway, gap, kind) in events {
             now += gap;
             let budget = &mut budgets[gateway % gateways];
             if kind == 0 {
                 budget.record_request(time(now));
                 requests.push(now);
-            } else if budget.try_send_again(time(now), gateways) {
-                further.push(now);
+            } else if budget.try_resend(time(now), gateways) {
+                resends.push(now);
             }
         }
-        for begin in further.iter().copied() {
-            let window = begin..=begin + OPTIONS.window.0;
-            let count = further.iter().filter(|at| window.contains(at)).count();
-            // The requests of the window itself, of the one before, or of the one half a window
-            // before count, whichever has most.
-            let most = [0, 5_000, 10_000]
+        for start in resends.iter().copied() {
+            let window = start..=start + OPTIONS.window.0;
+            let count = resends.iter().filter(|at| window.contains(at)).count();
+            // The bound follows from the window itself, the previous one or the one half a window
+            // earlier, whichever has the most requests.
+            let max_requests = [0, 5_000, 10_000]
                 .iter()
-                .map(|back| {
-                    let from = begin.saturating_sub(*back);
+                .map(|offset| {
+                    let from = start.saturating_sub(*offset);
                     let window = from..=from + OPTIONS.window.0;
                     requests.iter().filter(|at| window.contains(at)).count()
                 })
                 .max()
                 .unwrap_or_default();
-            let most = f64::from(u32::try_from(most).unwrap());
-            let bound = OPTIONS.ratio * most + OPTIONS.allowance;
+            let max_requests = f64::from(u32::try_from(max_requests).unwrap());
+            let bound = OPTIONS.ratio * max_requests + OPTIONS.allowance;
             prop_assert!(f64::from(u32::try_from(count).unwrap()) <= bound, "{count} of {bound}");
         }
     }
 }
 
-/// Guards against a budget that never refills.
+/// The budget must refill once its window has passed.
 #[test]
 fn budget_refills_after_its_window() {
-    let mut budget = SendBudget::new(OPTIONS);
-    let taken = |budget: &mut SendBudget, now: u64| {
-        (0..100)
-            .filter(|_| budget.try_send_again(time(now), 1))
-            .count()
+    let mut budget = ResendBudget::new(OPTIONS);
+    let taken = |budget: &mut ResendBudget, now: u64| {
+        (0..100).filter(|_| budget.try_resend(time(now), 1)).count()
     };
     let first = taken(&mut budget, 0);
     assert!(first > 0 && first <= 60, "{first}");
@@ -86,7 +84,7 @@
     }
 }
 
-/// A gateway with a budget of 8 further sends before a target that works and a suspected one.
+/// A gateway with a budget of 8 resends, a trusted target and a suspected one.
 fn dispatcher() -> Dispatcher<()> {
     let mut dispatcher = Dispatcher::new(&DispatcherOptions {
         balancer: BalancerOptions {
@@ -113,8 +111,8 @@
     dispatcher
 }
 
-/// The target of a lookup.
-fn placed(dispatcher: &mut Dispatcher<()>, now: u64) -> String {
+/// The target on which an idempotent request starts.
+fn placed_target(dispatcher: &mut Dispatcher<()>, now: u64) -> String {
     let need = Need {
         class: RequestClass::Idempotent,
         rank: 1,
@@ -124,26 +122,26 @@
     };
     match dispatcher.place(time(now), &need, || ()) {
         Placement::Start(pick) => pick.target.to_string(),
-        other => panic!("there is room, but the lookup got {other:?}"),
+        other => panic!("a slot is free, but the request got {other:?}"),
     }
 }
 
-/// Guards against lookups that are spent on tests of suspected targets and then lost, since no send to
-/// another target is left.
+/// Trials of suspected targets must not use up the budget, or requests that fail in a trial could
+/// not be resent to another target and would be lost.
 #[test]
-fn tests_of_targets_leave_a_quarter_of_the_budget() {
+fn trials_leave_a_quarter_of_the_budget() {
     let mut fresh = dispatcher();
-    assert_eq!(placed(&mut fresh, 1_500), "t-bad");
+    assert_eq!(placed_target(&mut fresh, 1_500), "t-bad");
     let mut spent = dispatcher();
     for _ in 0..6 {
         assert!(spent.try_send_again(time(1_400)));
     }
-    assert_eq!(placed(&mut spent, 1_500), "t-good");
+    assert_eq!(placed_target(&mut spent, 1_500), "t-good");
 }
 
-/// Guards against second sends beside silent ones that take the last of the budget.
+/// Hedged requests must not use up the budget that failed sends need.
 #[test]
-fn second_sends_leave_a_quarter_of_the_budget() {
+fn hedged_requests_leave_a_quarter_of_the_budget() {
     let mut dispatcher = dispatcher();
     let need = Need {
         class: RequestClass::Idempotent,
@@ -153,8 +151,8 @@
         tried: &[],
     };
     for _ in 0..6 {
-        let second = dispatcher.pick_free(time(1_500), &need).unwrap();
-        dispatcher.finish(time(1_500), second.key, None);
+        let hedge = dispatcher.pick_free(time(1_500), &need).unwrap();
+        dispatcher.finish(time(1_500), hedge.key, None);
         assert!(dispatcher.try_send_again(time(1_500)));
     }
     assert_eq!(dispatcher.pick_free(time(1_500), &need), None);
