--- a/crates/auburnbridge_policy/tests/balance_load/main.rs
+++ b/crates/auburnbridge_policy/tests/balance_load/main.rs
@@ -1,31 +1,34 @@
-//! Guards the choice of targets and the order of waiting requests under named load patterns.
+//! Simulation tests of target selection and of the order of waiting requests.
 //!
-//! Bounds are those of docs/design.md: a target that fails gets no at-most-once work after a second,
-//! at-most-once work takes at most 1.5 times as long under overload as in quiet times, and less
-//! urgent work is not served more often than more urgent work of its service.
+//! The bounds are those of docs/design.md: a failing target receives no at-most-once requests after
+//! one second, at-most-once requests take at most 1.5 times as long under overload as under light
+//! load, and requests of a lower priority are not served more often than those of a higher priority
+//! of the same service.
+//!
+//! In each scenario, *lookups* are idempotent requests and *orders* are at-most-once requests.
 
 #![allow(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
     clippy::cast_sign_loss,
-    reason = "counts and times of a model are small"
+    reason = "counts and times of the simulation are small"
 )]
 
-mod model;
+mod simulation;
 
 use auburnbridge_policy::RequestClass;
-use model::{Kind, Outcome, Pattern, run};
+use simulation::{Outcome, RequestKind, Scenario, run};
 
 const SEEDS: [u64; 5] = [1, 2, 3, 4, 5];
 
 const LOOKUP: usize = 0;
 const ORDER: usize = 1;
 
-fn never_fails(_target: usize, _at_ms: u64) -> f64 {
+fn never(_target: usize, _at_ms: u64) -> f64 {
     0.0
 }
 
-/// Three targets in ten fail three quarters of their work from the fifth second on.
+/// Three in ten targets fail three quarters of their requests from the fifth second on.
 fn three_in_ten_fail(target: usize, at_ms: u64) -> f64 {
     if target % 10 < 3 && at_ms >= 5_000 {
         0.75
@@ -34,26 +37,27 @@
     }
 }
 
-fn even(_target: usize, _at_ms: u64) -> f64 {
+fn normal_speed(_target: usize, _at_ms: u64) -> f64 {
     1.0
 }
 
-fn no_cut(_gateway: usize, _target: usize) -> bool {
+fn all_reachable(_gateway: usize, _target: usize) -> bool {
     false
 }
 
-/// Lookups and orders before 26 targets with three slots, as at a small site.
-fn pattern(lookups: fn(u64) -> f64, orders: fn(u64) -> f64) -> Pattern {
-    Pattern {
+/// A small site: 26 targets with three slots each, with lookups and orders at the given rates per
+/// second.
+fn scenario(lookups: fn(u64) -> f64, orders: fn(u64) -> f64) -> Scenario {
+    Scenario {
         seed: 0,
         gateways: 13,
         targets: 26,
         slots: 3,
         data_centres: 3,
-        length_ms: 20_000,
+        duration_ms: 20_000,
         counted_from_ms: 0,
         kinds: vec![
-            Kind {
+            RequestKind {
                 class: RequestClass::Idempotent,
                 rank: 2,
                 work_ms: 170,
@@ -61,7 +65,7 @@
                 deadline_ms: 1_500,
                 per_second: lookups,
             },
-            Kind {
+            RequestKind {
                 class: RequestClass::Once,
                 rank: 1,
                 work_ms: 220,
@@ -70,49 +74,49 @@
                 per_second: orders,
             },
         ],
-        fails: never_fails,
-        loses_answers: never_fails,
-        slowness: even,
-        is_cut: no_cut,
-        report_ms: 40,
-        reports_per_far: 1,
+        failure_share: never,
+        lost_answer_share: never,
+        work_time_factor: normal_speed,
+        is_unreachable: all_reachable,
+        report_interval_ms: 40,
+        local_reports_per_remote: 1,
     }
 }
 
-fn quiet() -> Pattern {
-    pattern(|_| 25.0, |_| 75.0)
+fn light_load() -> Scenario {
+    scenario(|_| 25.0, |_| 75.0)
 }
 
-fn partial_failure() -> Pattern {
-    Pattern {
-        fails: three_in_ten_fail,
-        ..quiet()
+fn partial_failure() -> Scenario {
+    Scenario {
+        failure_share: three_in_ten_fail,
+        ..light_load()
     }
 }
 
-fn run_patterns(make: impl Fn() -> Pattern) -> Vec<(Pattern, Outcome)> {
+fn run_scenarios(make: impl Fn() -> Scenario) -> Vec<(Scenario, Outcome)> {
     SEEDS
         .iter()
         .map(|seed| {
-            let pattern = Pattern {
+            let scenario = Scenario {
                 seed: *seed,
                 ..make()
             };
-            let outcome = run(&pattern);
-            (pattern, outcome)
+            let outcome = run(&scenario);
+            (scenario, outcome)
         })
         .collect()
 }
 
-fn run_seeds(make: impl Fn() -> Pattern) -> Vec<Outcome> {
-    let runs = run_patterns(make).into_iter();
+fn run_seeds(make: impl Fn() -> Scenario) -> Vec<Outcome> {
+    let runs = run_scenarios(make).into_iter();
     runs.map(|(_, outcome)| outcome).collect()
 }
 
-/// Pattern: quiet. Guards against refusals and losses while there is room for everything.
+/// Light load: no request may be refused or lost while the targets have capacity for all.
 #[test]
-fn quiet_load_is_served_in_time() {
-    for outcome in run_seeds(quiet) {
+fn light_load_is_served_in_time() {
+    for outcome in run_seeds(light_load) {
         for tally in &outcome.tallies {
             assert_eq!(tally.refused + tally.failed, 0, "{tally:?}");
             assert!(tally.objective_share() > 0.99, "{tally:?}");
@@ -120,10 +124,10 @@
     }
 }
 
-/// Pattern: three targets in ten fail three quarters of their work from the fifth second on. Guards
-/// against at-most-once work that goes on to targets which are known to fail.
+/// Three in ten targets fail three quarters of their requests from the fifth second on.
+/// At-most-once requests must not be sent to targets that are known to fail.
 #[test]
-fn partial_failure_keeps_at_most_once_work_away_after_a_second() {
+fn partial_failure_diverts_at_most_once_requests_within_a_second() {
     for outcome in run_seeds(partial_failure) {
         let first_sends: Vec<Option<u64>> = (0..26)
             .map(|target| {
@@ -132,8 +136,8 @@
                 first.map(|send| send.at_ms)
             })
             .collect();
-        // A target without a failure is not found out: three in four sends fail, so by the fourth
-        // send within the next second nearly all are.
+        // A failing target is detected only by a failed send. Three in four sends fail, so nearly
+        // all failing targets are detected by the fourth send, within the next second.
         let late = outcome.sends.iter().filter(|send| {
             send.class == RequestClass::Once
                 && send.target % 10 < 3
@@ -151,19 +155,19 @@
     }
 }
 
-/// Pattern: as before. Guards against idempotent requests that fail twice on failing targets.
+/// Partial failure as above: idempotent requests must not fail twice on failing targets.
 #[test]
-fn partial_failure_costs_idempotent_requests_nothing() {
+fn idempotent_requests_survive_partial_failure() {
     for outcome in run_seeds(partial_failure) {
         let lookups = &outcome.tallies[LOOKUP];
         assert!(lookups.served_share() > 0.99, "{lookups:?}");
     }
 }
 
-/// Pattern: a burst to about twice the capacity for three seconds. Guards against lookups that take
-/// the slots of orders, and against orders that all become late behind them.
+/// A burst to about twice the capacity for three seconds. Lookups must not take the slots of orders
+/// or delay them.
 #[test]
-fn burst_serves_the_better_rank_first() {
+fn burst_serves_higher_priorities_first() {
     fn lookups(at_ms: u64) -> f64 {
         if (6_000..9_000).contains(&at_ms) {
             250.0
@@ -178,11 +182,11 @@
             110.0
         }
     }
-    let calm: Vec<f64> = run_seeds(quiet)
+    let light: Vec<f64> = run_seeds(light_load)
         .iter()
         .map(|outcome| outcome.tallies[ORDER].mean_answer_ms())
         .collect();
-    for (outcome, calm) in run_seeds(|| pattern(lookups, orders)).iter().zip(calm) {
+    for (outcome, light) in run_seeds(|| scenario(lookups, orders)).iter().zip(light) {
         let (lookups, orders) = (&outcome.tallies[LOOKUP], &outcome.tallies[ORDER]);
         assert!(
             orders.served_share() >= lookups.served_share(),
@@ -191,48 +195,48 @@
             lookups.served_share()
         );
         assert!(
-            orders.mean_answer_ms() <= 1.5 * calm,
-            "orders took {:.0} ms, {calm:.0} ms in quiet times",
+            orders.mean_answer_ms() <= 1.5 * light,
+            "orders took {:.0} ms, {light:.0} ms under light load",
             orders.mean_answer_ms()
         );
     }
 }
 
-/// Pattern: 1.2 times the capacity in lookups alone, throughout. Guards against refusals that come
-/// late, and against advice to come back at once.
+/// Lookups alone at 1.2 times the capacity throughout. Refusals must not be delayed or allow an
+/// immediate retry.
 #[test]
-fn lasting_overload_is_refused_at_once() {
-    for outcome in run_seeds(|| pattern(|_| 550.0, |_| 1.0)) {
+fn sustained_overload_is_refused_at_once() {
+    for outcome in run_seeds(|| scenario(|_| 550.0, |_| 1.0)) {
         let lookups = &outcome.tallies[LOOKUP];
         assert!(lookups.refused > 0, "{lookups:?}");
-        let held = lookups.refusal_ms.iter().filter(|wait| **wait > 100);
-        let share = held.count() as f64 / f64::from(lookups.refused);
-        assert!(share < 0.1, "{share:.2} of the refusals came late");
+        let delayed = lookups.refusal_ms.iter().filter(|wait| **wait > 100);
+        let share = delayed.count() as f64 / f64::from(lookups.refused);
+        assert!(share < 0.1, "{share:.2} of the refusals were delayed");
         assert!(lookups.retry_after_ms.iter().all(|advice| *advice >= 100));
-        // What the targets can do is done: 26 targets with 3 slots and 170 ms a request.
+        // The capacity must be used: 26 targets with 3 slots and 170 ms per request.
         let capacity = 26.0 * 3.0 / 0.17 * 20.0;
         let served = f64::from(lookups.in_objective + lookups.late);
         assert!(
             served > 0.8 * capacity,
-            "{served} of {capacity:.0} were served"
+            "{served} of {capacity:.0} requests were served"
         );
     }
 }
 
-/// Pattern: a fifth of the targets take five times as long. Guards against work that piles up on
-/// slow targets while others are free.
+/// A fifth of the targets take five times as long. Requests must not accumulate on slow targets
+/// while others are free.
 #[test]
-fn slow_targets_get_less_work() {
-    fn slowness(target: usize, at_ms: u64) -> f64 {
+fn slow_targets_receive_fewer_requests() {
+    fn work_time_factor(target: usize, at_ms: u64) -> f64 {
         if target.is_multiple_of(5) && at_ms >= 4_000 {
             5.0
         } else {
             1.0
         }
     }
-    for outcome in run_seeds(|| Pattern {
-        slowness,
-        ..quiet()
+    for outcome in run_seeds(|| Scenario {
+        work_time_factor,
+        ..light_load()
     }) {
         let after = outcome.sends.iter().filter(|send| send.at_ms > 6_000);
         let (slow, all) = after.fold((0.0, 0.0), |(slow, all), send| {
@@ -241,7 +245,7 @@
                 all + 1.0,
             )
         });
-        // Six of 26 targets would get 23% by chance.
+        // Six of 26 targets would receive 23% under uniform selection.
         assert!(
             slow / all < 0.12,
             "{:.2} of the sends went to slow targets",
@@ -250,14 +254,17 @@
     }
 }
 
-/// Pattern: one gateway can't reach half of the targets. Guards against evidence about its path that
-/// takes targets away from the others, and against refusals while the other half has room.
+/// One gateway can't reach half of the targets. Its path evidence must not keep other gateways from
+/// using these targets, and it must not refuse requests while the other half has free slots.
 #[test]
-fn cut_path_of_one_gateway_stays_its_own() {
-    fn is_cut(gateway: usize, target: usize) -> bool {
+fn unreachable_targets_of_one_gateway_stay_in_use_elsewhere() {
+    fn is_unreachable(gateway: usize, target: usize) -> bool {
         gateway == 0 && target.is_multiple_of(2)
     }
-    for outcome in run_seeds(|| Pattern { is_cut, ..quiet() }) {
+    for outcome in run_seeds(|| Scenario {
+        is_unreachable,
+        ..light_load()
+    }) {
         for tally in &outcome.tallies {
             assert!(tally.served_share() > 0.99, "{tally:?}");
         }
@@ -272,36 +279,36 @@
     }
 }
 
-/// Pattern: eleven targets with four slots at nine tenths of what they can do, before 13 gateways.
-/// Guards against gateways that start work on the same free slots while others idle.
+/// 13 gateways share eleven targets with four slots at nine tenths of their capacity. Gateways must
+/// not start requests on the same free slots while others are idle.
 #[test]
-fn crowded_gateways_share_the_slots() {
-    let crowded = || Pattern {
+fn gateways_share_the_slots_under_high_load() {
+    let high_load = || Scenario {
         targets: 11,
         slots: 4,
-        ..pattern(|_| 20.0, |_| 160.0)
+        ..scenario(|_| 20.0, |_| 160.0)
     };
-    let calm = run_seeds(|| Pattern {
+    let light = run_seeds(|| Scenario {
         targets: 11,
         slots: 4,
-        ..pattern(|_| 5.0, |_| 40.0)
+        ..scenario(|_| 5.0, |_| 40.0)
     });
-    for (outcome, calm) in run_seeds(crowded).iter().zip(calm) {
-        let (orders, calm) = (&outcome.tallies[ORDER], &calm.tallies[ORDER]);
+    for (outcome, light) in run_seeds(high_load).iter().zip(light) {
+        let (orders, light) = (&outcome.tallies[ORDER], &light.tallies[ORDER]);
         assert!(orders.served_share() > 0.97, "{:.3}", orders.served_share());
         assert!(
-            orders.mean_answer_ms() <= 1.5 * calm.mean_answer_ms(),
-            "{:.0} ms against {:.0} ms",
+            orders.mean_answer_ms() <= 1.5 * light.mean_answer_ms(),
+            "orders took {:.0} ms, {:.0} ms at low load",
             orders.mean_answer_ms(),
-            calm.mean_answer_ms()
+            light.mean_answer_ms()
         );
     }
 }
 
-/// Pattern: each target fails 85% of its work for 5 s of every 17 s, at times of its own, as targets
-/// do at any time. A third of the slots is taken.
-fn phases() -> Pattern {
-    fn fails(target: usize, at_ms: u64) -> f64 {
+/// Each target fails 85% of its requests for 5 s of every 17 s, with a phase of its own, since
+/// targets may fail at any time. A third of the slots is in use.
+fn staggered_failures() -> Scenario {
+    fn failure_share(target: usize, at_ms: u64) -> f64 {
         let offset = target as u64 * 7_919;
         if (at_ms + offset) % 17_000 < 5_000 {
             0.85
@@ -309,21 +316,21 @@
             0.0
         }
     }
-    Pattern {
+    Scenario {
         gateways: 11,
         targets: 80,
         data_centres: 1,
-        length_ms: 30_000,
-        fails,
-        report_ms: 100,
-        ..pattern(|_| 65.0, |_| 245.0)
+        duration_ms: 30_000,
+        failure_share,
+        report_interval_ms: 100,
+        ..scenario(|_| 65.0, |_| 245.0)
     }
 }
 
-/// Pattern: a large fleet at four tenths of its slots, each of whose targets breaks off everything
-/// for 2.7 s of every 12 s, at times of its own.
-fn restless_fleet() -> Pattern {
-    fn fails(target: usize, at_ms: u64) -> f64 {
+/// A large fleet with four tenths of its slots in use, whose targets each fail all requests for 2.7
+/// s of every 12 s, with a phase of their own.
+fn flapping_fleet() -> Scenario {
+    fn failure_share(target: usize, at_ms: u64) -> f64 {
         let offset = target as u64 * 7_919;
         if (at_ms + offset) % 12_000 < 2_700 {
             1.0
@@ -331,18 +338,18 @@
             0.0
         }
     }
-    Pattern {
+    Scenario {
         gateways: 47,
         targets: 380,
         slots: 4,
         data_centres: 4,
-        length_ms: 12_000,
+        duration_ms: 12_000,
         counted_from_ms: 2_000,
-        fails,
-        report_ms: 100,
-        reports_per_far: 8,
+        failure_share,
+        report_interval_ms: 100,
+        local_reports_per_remote: 8,
         kinds: vec![
-            Kind {
+            RequestKind {
                 class: RequestClass::Idempotent,
                 rank: 2,
                 work_ms: 440,
@@ -350,7 +357,7 @@
                 deadline_ms: 2_500,
                 per_second: |_| 306.0,
             },
-            Kind {
+            RequestKind {
                 class: RequestClass::Once,
                 rank: 1,
                 work_ms: 570,
@@ -359,7 +366,7 @@
                 per_second: |_| 700.0,
             },
         ],
-        ..pattern(|_| 0.0, |_| 0.0)
+        ..scenario(|_| 0.0, |_| 0.0)
     }
 }
 
@@ -374,33 +381,37 @@
     f64::from(lost) / f64::from(offered)
 }
 
-/// Pattern: the restless fleet. Guards against gateways that each find out by a lost request of their
-/// own that a target has begun to fail, and that test failing targets all at once.
+/// Gateways must not each lose a request to detect that a target has begun to fail, nor all try a
+/// failing target at once.
 ///
-/// A mean worth of 0.75 at prices of 0.1 needs 97% of the requests served, and targets answer 1.2%
-/// with errors of their own, so 1.8% may be lost in other ways.
+/// A mean benchmark score of 0.75 at prices of 0.1 requires 97% of the requests to be served.
+/// Targets return errors for 1.2%, so at most 1.8% may be lost otherwise.
 #[test]
-fn restless_fleet_loses_few_requests() {
-    for outcome in run_seeds(restless_fleet) {
+fn flapping_fleet_loses_few_requests() {
+    for outcome in run_seeds(flapping_fleet) {
         let share = lost_share([&outcome]);
-        assert!(share <= 0.018, "{:.2}% were lost", 100.0 * share);
+        assert!(
+            share <= 0.018,
+            "{:.2}% of the requests were lost",
+            100.0 * share
+        );
         let lookups = &outcome.tallies[LOOKUP];
         assert!(lookups.objective_share() > 0.95, "{lookups:?}");
     }
 }
 
-/// Pattern: a small fleet whose targets break off everything for 2.7 s of every 12 s, and whose
-/// working slots are taken to four fifths.
-fn restless_small_fleet() -> Pattern {
-    Pattern {
+/// A small fleet whose targets each fail all requests for 2.7 s of every 12 s, with four fifths of
+/// the slots of working targets in use.
+fn small_flapping_fleet() -> Scenario {
+    Scenario {
         gateways: 13,
         targets: 21,
         data_centres: 3,
-        length_ms: 24_000,
-        report_ms: 40,
-        reports_per_far: 1,
+        duration_ms: 24_000,
+        report_interval_ms: 40,
+        local_reports_per_remote: 1,
         kinds: vec![
-            Kind {
+            RequestKind {
                 class: RequestClass::Idempotent,
                 rank: 2,
                 work_ms: 200,
@@ -408,7 +419,7 @@
                 deadline_ms: 2_500,
                 per_second: |_| 60.0,
             },
-            Kind {
+            RequestKind {
                 class: RequestClass::Once,
                 rank: 1,
                 work_ms: 260,
@@ -417,20 +428,20 @@
                 per_second: |_| 150.0,
             },
         ],
-        ..restless_fleet()
+        ..flapping_fleet()
     }
 }
 
-/// Pattern: a service of the restless fleet that has no lookups, so that only orders find out whether
-/// a target works again.
-fn restless_orders() -> Pattern {
-    let mut pattern = Pattern {
+/// A service of the flapping fleet without lookups, so that only orders can detect that a target
+/// has recovered.
+fn flapping_orders() -> Scenario {
+    let mut scenario = Scenario {
         targets: 57,
-        length_ms: 30_000,
-        ..restless_fleet()
+        duration_ms: 30_000,
+        ..flapping_fleet()
     };
-    pattern.kinds[LOOKUP].per_second = |_| 0.0;
-    pattern.kinds[ORDER] = Kind {
+    scenario.kinds[LOOKUP].per_second = |_| 0.0;
+    scenario.kinds[ORDER] = RequestKind {
         class: RequestClass::Once,
         rank: 0,
         work_ms: 310,
@@ -438,20 +449,24 @@
         deadline_ms: 1_500,
         per_second: |_| 233.0,
     };
-    pattern
+    scenario
 }
 
-/// Pattern: the restless small fleet. Guards against targets that work again and get no work while
-/// the others have none to spare, since each is tested by one gateway only.
+/// Recovered targets must receive requests again while the others have no spare slots, although
+/// only one gateway tries each of them.
 ///
-/// The bound is that of the restless fleet, over all seeds.
+/// The bound is that of the flapping fleet, over all seeds.
 #[test]
-fn restless_small_fleet_loses_few_requests() {
-    let share = lost_share(&run_seeds(restless_small_fleet));
-    assert!(share <= 0.018, "{:.2}% were lost", 100.0 * share);
+fn small_flapping_fleet_loses_few_requests() {
+    let share = lost_share(&run_seeds(small_flapping_fleet));
+    assert!(
+        share <= 0.018,
+        "{:.2}% of the requests were lost",
+        100.0 * share
+    );
 }
 
-/// Share of their credit that the orders of all seeds earn; late answers earn three tenths.
+/// Share of the maximum credit that the orders of all seeds earn; late answers earn three tenths.
 fn order_credit(outcomes: &[Outcome]) -> f64 {
     let tallies = || outcomes.iter().map(|outcome| &outcome.tallies[ORDER]);
     let offered: u32 = tallies().map(|tally| tally.offered).sum();
@@ -461,22 +476,25 @@
     earned / f64::from(offered)
 }
 
-/// Pattern: restless orders. Guards against targets that stay suspected long after they work again
-/// where no lookup tests them.
+/// Targets must not stay suspected long after their recovery where no lookups try them.
 ///
-/// The worst kind of request may earn 93% of its credit for a mean worth of 0.75, late answers earn
-/// three tenths, and targets answer 1.2% with errors of their own.
+/// For a mean benchmark score of 0.75 the worst kind of request has to earn 93% of its credit. Late
+/// answers earn three tenths, and targets return errors for 1.2% of the requests.
 #[test]
-fn restless_orders_earn_their_credit() {
-    let outcomes = run_seeds(restless_orders);
+fn flapping_orders_earn_their_credit() {
+    let outcomes = run_seeds(flapping_orders);
     let share = order_credit(&outcomes);
-    assert!(share >= 0.93 / 0.988, "{:.2}% of the credit", 100.0 * share);
+    assert!(
+        share >= 0.93 / 0.988,
+        "orders earned {:.2}% of their credit",
+        100.0 * share
+    );
 }
 
-/// Pattern: the restless orders with targets that break off everything for 4 s of every 12 s, from the
-/// start, at which nobody knows any target yet.
-fn restless_start() -> Pattern {
-    fn fails(target: usize, at_ms: u64) -> f64 {
+/// The flapping orders, with targets that each fail all requests for 4 s of every 12 s, observed
+/// from the start, when no gateway has evidence about any target yet.
+fn flapping_start() -> Scenario {
+    fn failure_share(target: usize, at_ms: u64) -> f64 {
         let offset = target as u64 * 7_919;
         if (at_ms + offset) % 12_000 < 4_000 {
             1.0
@@ -484,22 +502,22 @@
             0.0
         }
     }
-    Pattern {
-        length_ms: 10_000,
-        fails,
-        ..restless_orders()
+    Scenario {
+        duration_ms: 10_000,
+        failure_share,
+        ..flapping_orders()
     }
 }
 
-/// Pattern: restless start. Guards against targets that work and get nothing while many requests are lost: of those
-/// that work throughout two seconds the floor's share must get some then.
+/// While many requests are lost, working targets must not be left without requests: of those that
+/// work throughout a window of two seconds, the floor's share must receive some in it.
 #[test]
-fn working_targets_get_work_while_requests_are_lost() {
+fn working_targets_receive_requests_while_others_are_lost() {
     const WINDOW_MS: u64 = 2_000;
-    // Half of the share from which the floor must hold, since other losses may come on top.
+    // Half of the loss from which the floor has to hold, since other losses may add to it.
     const LOST: f64 = 0.05;
     let mut windows = 0;
-    for (pattern, outcome) in run_patterns(restless_start) {
+    for (scenario, outcome) in run_scenarios(flapping_start) {
         for from in (0..8_000).step_by(500) {
             let window = from..from + WINDOW_MS;
             let within = |times: &[u64]| times.iter().filter(|at| window.contains(at)).count();
@@ -510,9 +528,9 @@
             windows += 1;
             let works = |target: &usize| {
                 let mut times = window.clone().step_by(100);
-                times.all(|at_ms| (pattern.fails)(*target, at_ms) == 0.0)
+                times.all(|at_ms| (scenario.failure_share)(*target, at_ms) == 0.0)
             };
-            let working: Vec<usize> = (0..pattern.targets).filter(works).collect();
+            let working: Vec<usize> = (0..scenario.targets).filter(works).collect();
             let used = working.iter().filter(|target| {
                 let mut sends = outcome.sends.iter();
                 sends.any(|send| send.target == **target && window.contains(&send.at_ms))
@@ -520,47 +538,50 @@
             let share = used.count() as f64 / working.len() as f64;
             assert!(
                 share >= 0.7,
-                "{share:.2} of the targets at {from} ms, lost {lost:.2}"
+                "{share:.2} of the targets used at {from} ms, lost {lost:.2}"
             );
         }
     }
-    assert!(windows > 0, "no window lost so many");
+    assert!(windows > 0, "no window lost enough requests");
 }
 
-/// Pattern: restless orders at the crest of the usual wave (1.15 times the mean), with half of the targets losing 6% of their
-/// answers.
-fn lost_answers() -> Pattern {
-    fn loses_answers(target: usize, _at_ms: u64) -> f64 {
+/// The flapping orders at the peak of the usual load variation (1.15 times the mean), with half of
+/// the targets losing 6% of their answers.
+fn lost_answers() -> Scenario {
+    fn lost_answer_share(target: usize, _at_ms: u64) -> f64 {
         if target.is_multiple_of(2) { 0.06 } else { 0.0 }
     }
-    let mut pattern = Pattern {
-        loses_answers,
-        ..restless_orders()
+    let mut scenario = Scenario {
+        lost_answer_share,
+        ..flapping_orders()
     };
-    pattern.kinds[ORDER].per_second = |_| 268.0;
-    pattern
+    scenario.kinds[ORDER].per_second = |_| 268.0;
+    scenario
 }
 
-/// Pattern: lost answers. Guards against targets that leave most of their slots unused for one answer
-/// that was lost with its connection.
+/// One answer lost with its connection must not leave most slots of its target unused.
 ///
-/// Besides the lost answers themselves, the credit is that of the restless orders.
+/// Apart from the lost answers themselves, the required credit is that of the flapping orders.
 #[test]
-fn lost_answers_cost_themselves_only() {
+fn lost_answers_cause_no_further_losses() {
     let outcomes = run_seeds(lost_answers);
     let share = order_credit(&outcomes);
     let bound = 0.93 / 0.988 - 0.03;
-    assert!(share >= bound, "{:.2}% of the credit", 100.0 * share);
+    assert!(
+        share >= bound,
+        "orders earned {:.2}% of their credit",
+        100.0 * share
+    );
 }
 
-/// Prints what the restless fleet costs, for the measures page.
+/// Prints the results of the flapping scenarios, for docs/MEASURES.md.
 #[test]
 #[ignore = "prints figures; run it by hand with --nocapture"]
-fn print_restless_figures() {
+fn print_flapping_results() {
     let patterns = [
-        ("restless", restless_fleet as fn() -> Pattern),
-        ("small", restless_small_fleet),
-        ("orders", restless_orders),
+        ("flapping", flapping_fleet as fn() -> Scenario),
+        ("small", small_flapping_fleet),
+        ("orders", flapping_orders),
         ("lost", lost_answers),
     ];
     let outcomes = patterns.iter().flat_map(|(name, make)| {
@@ -593,14 +614,14 @@
     }
 }
 
-/// Prints what failing phases cost, for the measures page.
+/// Prints the results of staggered failures, for docs/MEASURES.md.
 #[test]
 #[ignore = "prints figures; run it by hand with --nocapture"]
-fn print_phase_figures() {
-    for outcome in run_seeds(phases) {
+fn print_staggered_failure_results() {
+    for outcome in run_seeds(staggered_failures) {
         for tally in &outcome.tallies {
             println!(
-                "phases offered={} in_objective={} late={} refused={} failed={} ({:.2}%) mean_ms={:.0}",
+                "staggered_failures offered={} in_objective={} late={} refused={} failed={} ({:.2}%) mean_ms={:.0}",
                 tally.offered,
                 tally.in_objective,
                 tally.late,
@@ -613,21 +634,21 @@
     }
 }
 
-/// Prints the figures of the overload patterns, for the measures page.
+/// Prints the results of the overload scenarios, for docs/MEASURES.md.
 #[test]
 #[ignore = "prints figures; run it by hand with --nocapture"]
-fn print_overload_figures() {
+fn print_overload_results() {
     for rate in [400.0, 550.0, 900.0] {
         let make = || match rate as u32 {
-            400 => pattern(|_| 400.0, |_| 1.0),
-            550 => pattern(|_| 550.0, |_| 1.0),
-            _ => pattern(|_| 900.0, |_| 1.0),
+            400 => scenario(|_| 400.0, |_| 1.0),
+            550 => scenario(|_| 550.0, |_| 1.0),
+            _ => scenario(|_| 900.0, |_| 1.0),
         };
         for outcome in run_seeds(make) {
             let tally = &outcome.tallies[LOOKUP];
-            let held = tally.refusal_ms.iter().filter(|wait| **wait > 100).count();
+            let delayed = tally.refusal_ms.iter().filter(|wait| **wait > 100).count();
             println!(
-                "rate={rate} offered={} in_objective={} late={} refused={} refused_late={held} failed={} mean_ms={:.0}",
+                "rate={rate} offered={} in_objective={} late={} refused={} refused_late={delayed} failed={} mean_ms={:.0}",
                 tally.offered,
                 tally.in_objective,
                 tally.late,
--- a/crates/auburnbridge_policy/tests/balance_load/model.rs
+++ b/crates/auburnbridge_policy/tests/balance_load/simulation.rs
@@ -1,9 +1,9 @@
-//! A model of callers, gateways and targets on which the real decisions run.
+//! A discrete-event simulation of callers, gateways and targets around the real dispatchers.
 //!
-//! It has no network and no processes: time is a number, events lie in a queue, and all randomness
-//! comes from one seed. Targets run as many requests as they have slots, queue some more and shed
-//! the rest; a failing one breaks requests off at once. Gateways tell each other of findings at once
-//! and of requests in flight at intervals, both after a delay.
+//! It uses no network or processes: time is simulated, and all randomness comes from one seed.
+//! Targets run as many requests as they have slots, queue a few more and shed the rest; a failing
+//! target closes the connection at once. Gateways report findings to each other at once, with a
+//! delay, and requests in flight at intervals.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -17,53 +17,53 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// One way between a gateway and a target or another gateway, in milliseconds.
-const HOP_MS: u64 = 1;
-/// Time after which a failing target has broken a request off.
-const BREAK_MS: u64 = 2;
-/// Time after which a connection that doesn't come about is given up.
-const CONNECT_MS: u64 = 120;
-/// Requests that wait in a target's own queue before it sheds.
-const TARGET_QUEUE: usize = 16;
+/// One-way delay between a gateway and a target or another gateway.
+const ONE_WAY_DELAY_MS: u64 = 1;
+/// Time after which a failing target has closed the connection.
+const FAILURE_DELAY_MS: u64 = 2;
+/// Time after which an attempt to connect is abandoned.
+const CONNECT_TIMEOUT_MS: u64 = 120;
+/// Capacity of a target's own queue, beyond which it sheds requests.
+const TARGET_QUEUE_CAPACITY: usize = 16;
 
-/// A kind of request.
+/// A kind of request and its arrival rate.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct RequestKind {
     pub class: RequestClass,
     pub rank: u32,
     pub work_ms: u64,
     pub objective_ms: u64,
     pub deadline_ms: u64,
-    /// Requests a second, from all callers together, at a time in milliseconds.
+    /// Requests per second from all callers together, by the time in milliseconds.
     pub per_second: fn(u64) -> f64,
 }
 
-/// A load pattern.
-pub struct Pattern {
+/// Load, fleet and failures of one run.
+pub struct Scenario {
     pub seed: u64,
     pub gateways: usize,
     pub targets: usize,
     pub slots: u32,
     pub data_centres: usize,
-    pub length_ms: u64,
-    /// Requests that arrive earlier are served, but not counted.
+    pub duration_ms: u64,
+    /// Requests that arrive before this time are served but not counted.
     pub counted_from_ms: u64,
-    pub kinds: Vec<Kind>,
-    /// Share of the requests that a target breaks off, by its number and the time.
-    pub fails: fn(usize, u64) -> f64,
-    /// Share of the requests that a target runs and whose answer is lost with its connection.
-    pub loses_answers: fn(usize, u64) -> f64,
-    /// Factor of the work time of a target.
-    pub slowness: fn(usize, u64) -> f64,
-    /// Whether a gateway can't reach a target.
-    pub is_cut: fn(usize, usize) -> bool,
-    /// Interval of the reports of requests in flight.
-    pub report_ms: u64,
-    /// Reports within a data centre for each one to the others.
-    pub reports_per_far: u64,
+    pub kinds: Vec<RequestKind>,
+    /// Share of the requests that a target fails, by its number and the time.
+    pub failure_share: fn(usize, u64) -> f64,
+    /// Share of the requests that a target runs but whose answer is lost with the connection.
+    pub lost_answer_share: fn(usize, u64) -> f64,
+    /// Factor applied to the work time of a target.
+    pub work_time_factor: fn(usize, u64) -> f64,
+    /// Whether a gateway can't connect to a target.
+    pub is_unreachable: fn(usize, usize) -> bool,
+    /// Interval between load reports of a gateway.
+    pub report_interval_ms: u64,
+    /// Number of reports within the data centre per report to the other ones.
+    pub local_reports_per_remote: u64,
 }
 
-/// What became of the requests of one kind.
+/// Results of the requests of one kind.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     pub offered: u32,
@@ -71,11 +71,11 @@
     pub late: u32,
     pub refused: u32,
     pub failed: u32,
-    /// Times from arrival to the answer of a target.
+    /// Times from arrival to the answer.
     pub answer_ms: Vec<u64>,
-    /// Times from arrival to the refusal.
+    /// Times from arrival to refusal.
     pub refusal_ms: Vec<u64>,
-    /// Advice of the refusals.
+    /// Retry times given with the refusals.
     pub retry_after_ms: Vec<u64>,
 }
 
@@ -93,9 +93,9 @@
     }
 }
 
-/// One send to a target.
+/// One send of a request to a target.
 #[derive(Clone, Copy, Debug)]
-pub struct Send {
+pub struct SendRecord {
     pub at_ms: u64,
     pub gateway: usize,
     pub target: usize,
@@ -105,26 +105,26 @@
 #[derive(Debug, Default)]
 pub struct Outcome {
     pub tallies: Vec<Tally>,
-    pub sends: Vec<Send>,
-    /// Arrivals of all requests, with the counted ones and the others.
+    pub sends: Vec<SendRecord>,
+    /// Arrival times of all requests, counted or not.
     pub arrivals_ms: Vec<u64>,
-    /// Arrivals of those that were refused or failed.
+    /// Arrival times of the requests that were refused or failed.
     pub lost_ms: Vec<u64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive { kind: usize },
-    Reach { request: usize, target: usize },
+    ReachTarget { request: usize, target: usize },
     Complete { request: usize, target: usize },
-    Return { request: usize, ending: Ending },
-    Expire { request: usize, place: u64 },
-    Report { gateway: usize, turn: u64 },
+    EndSend { request: usize, result: SendResult },
+    Expire { request: usize, wait: u64 },
+    PublishLoad { gateway: usize, round: u64 },
 }
 
-/// How a send ended at its target.
+/// How a send to a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Ending {
+enum SendResult {
     Answer,
     Broken,
     Interrupted,
@@ -139,8 +139,9 @@
     sent: u64,
     pick: Option<Pick>,
     tried: Vec<BalancedKey>,
-    place: Option<WaitingKey>,
-    places: u64,
+    waiting_key: Option<WaitingKey>,
+    /// Number of times that the request has been queued.
+    waits: u64,
     sends: u32,
 }
 
@@ -150,24 +151,24 @@
     queue: VecDeque<usize>,
 }
 
-/// Runs a pattern.
-pub fn run(pattern: &Pattern) -> Outcome {
-    let mut model = Model::new(pattern);
-    model.start();
-    while let Some(Reverse((at, _, event))) = model.events.pop() {
-        model.now = at;
-        if at > pattern.length_ms + 10_000 {
+/// Runs a scenario to its end.
+pub fn run(scenario: &Scenario) -> Outcome {
+    let mut simulation = Simulation::new(scenario);
+    simulation.start();
+    while let Some(Reverse((at, _, event))) = simulation.events.pop() {
+        simulation.now = at;
+        if at > scenario.duration_ms + 10_000 {
             break;
         }
-        model.handle(event);
+        simulation.handle(event);
     }
-    model.outcome
+    simulation.outcome
 }
 
-struct Model<'a> {
-    pattern: &'a Pattern,
+struct Simulation<'a> {
+    scenario: &'a Scenario,
     now: u64,
-    order: u64,
+    next_event_number: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     rng: ChaCha8Rng,
     gateways: Vec<Dispatcher<usize>>,
@@ -195,37 +196,37 @@
     std::net::SocketAddr::from(([10, 0, (target / 200) as u8, (target % 200) as u8], 8080))
 }
 
-impl<'a> Model<'a> {
-    fn new(pattern: &'a Pattern) -> Self {
-        let members: Vec<BalancedMember> = (0..pattern.targets)
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a Scenario) -> Self {
+        let members: Vec<BalancedMember> = (0..scenario.targets)
             .map(|number| BalancedMember {
                 id: format!("t-{number}").parse().unwrap(),
                 address: address(number),
-                data_centre: data_centre(number % pattern.data_centres),
+                data_centre: data_centre(number % scenario.data_centres),
                 incarnation: Incarnation(1),
-                slots: Slots(pattern.slots),
+                slots: Slots(scenario.slots),
             })
             .collect();
         let others = |number: usize| -> Vec<GatewayPlace> {
-            (0..pattern.gateways)
+            (0..scenario.gateways)
                 .filter(|other| *other != number)
-                .map(|other| gateway_place(other, pattern.data_centres))
+                .map(|other| gateway_place(other, scenario.data_centres))
                 .collect()
         };
-        let gateways = (0..pattern.gateways)
+        let gateways = (0..scenario.gateways)
             .map(|number| {
                 let mut dispatcher = Dispatcher::new(&DispatcherOptions {
                     balancer: BalancerOptions {
-                        own: gateway_place(number, pattern.data_centres),
+                        own: gateway_place(number, scenario.data_centres),
                         floor_share: 0.7,
-                        seed: pattern.seed + number as u64,
+                        seed: scenario.seed + number as u64,
                     },
                     sends: SendBudgetOptions {
                         ratio: 0.2,
                         allowance: 60.0,
                         window: Millis(10_000),
                     },
-                    seed: pattern.seed * 1_000 + number as u64,
+                    seed: scenario.seed * 1_000 + number as u64,
                 });
                 dispatcher.set_gateways(&others(number));
                 dispatcher.set_members(time(0), &members);
@@ -233,16 +234,16 @@
             })
             .collect();
         Self {
-            pattern,
+            scenario,
             now: 0,
-            order: 0,
+            next_event_number: 0,
             events: BinaryHeap::new(),
-            rng: ChaCha8Rng::seed_from_u64(pattern.seed),
+            rng: ChaCha8Rng::seed_from_u64(scenario.seed),
             gateways,
-            targets: (0..pattern.targets).map(|_| Target::default()).collect(),
+            targets: (0..scenario.targets).map(|_| Target::default()).collect(),
             requests: Vec::new(),
             outcome: Outcome {
-                tallies: vec![Tally::default(); pattern.kinds.len()],
+                tallies: vec![Tally::default(); scenario.kinds.len()],
                 sends: Vec::new(),
                 arrivals_ms: Vec::new(),
                 lost_ms: Vec::new(),
@@ -251,25 +252,25 @@
     }
 
     fn start(&mut self) {
-        for kind in 0..self.pattern.kinds.len() {
+        for kind in 0..self.scenario.kinds.len() {
             self.schedule_arrival(kind);
         }
-        for gateway in 0..self.pattern.gateways {
-            let offset = self.rng.random_range(0..self.pattern.report_ms);
-            self.schedule(offset, Event::Report { gateway, turn: 0 });
+        for gateway in 0..self.scenario.gateways {
+            let offset = self.rng.random_range(0..self.scenario.report_interval_ms);
+            self.schedule(offset, Event::PublishLoad { gateway, round: 0 });
         }
     }
 
     fn schedule(&mut self, after: u64, event: Event) {
-        self.order += 1;
+        self.next_event_number += 1;
         self.events
-            .push(Reverse((self.now + after, self.order, event)));
+            .push(Reverse((self.now + after, self.next_event_number, event)));
     }
 
     fn schedule_arrival(&mut self, kind: usize) {
-        let rate = (self.pattern.kinds[kind].per_second)(self.now).max(0.01);
+        let rate = (self.scenario.kinds[kind].per_second)(self.now).max(0.01);
         let gap = -self.rng.random::<f64>().max(1e-9).ln() * 1_000.0 / rate;
-        if self.now + (gap as u64) < self.pattern.length_ms {
+        if self.now + (gap as u64) < self.scenario.duration_ms {
             self.schedule(gap as u64, Event::Arrive { kind });
         }
     }
@@ -277,22 +278,22 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive { kind } => self.arrive(kind),
-            Event::Reach { request, target } => self.reach(request, target),
+            Event::ReachTarget { request, target } => self.reach_target(request, target),
             Event::Complete { request, target } => self.complete(request, target),
-            Event::Return { request, ending } => self.give_back(request, ending),
-            Event::Expire { request, place } => self.expire(request, place),
-            Event::Report { gateway, turn } => self.report(gateway, turn),
+            Event::EndSend { request, result } => self.end_send(request, result),
+            Event::Expire { request, wait } => self.expire(request, wait),
+            Event::PublishLoad { gateway, round } => self.publish_load(gateway, round),
         }
     }
 
     fn arrive(&mut self, kind: usize) {
         self.schedule_arrival(kind);
-        let gateway = self.rng.random_range(0..self.pattern.gateways);
+        let gateway = self.rng.random_range(0..self.scenario.gateways);
         self.outcome.arrivals_ms.push(self.now);
         if self.is_counted(self.now) {
             self.outcome.tallies[kind].offered += 1;
         }
-        let rank = self.pattern.kinds[kind].rank;
+        let rank = self.scenario.kinds[kind].rank;
         self.gateways[gateway].record_request(time(self.now), rank);
         self.requests.push(Request {
             kind,
@@ -301,8 +302,8 @@
             sent: 0,
             pick: None,
             tried: Vec::new(),
-            place: None,
-            places: 0,
+            waiting_key: None,
+            waits: 0,
             sends: 0,
         });
         self.place(self.requests.len() - 1);
@@ -310,7 +311,7 @@
 
     fn place(&mut self, request: usize) {
         let req = &self.requests[request];
-        let kind = &self.pattern.kinds[req.kind];
+        let kind = &self.scenario.kinds[req.kind];
         let tried = req.tried.clone();
         let need = Need {
             class: kind.class,
@@ -324,24 +325,24 @@
             Placement::Start(pick) => self.send(request, pick),
             Placement::Wait { key, longest } => {
                 let req = &mut self.requests[request];
-                req.place = Some(key);
-                req.places += 1;
-                let place = req.places;
-                self.schedule(longest.0, Event::Expire { request, place });
+                req.waiting_key = Some(key);
+                req.waits += 1;
+                let wait = req.waits;
+                self.schedule(longest.0, Event::Expire { request, wait });
             }
             Placement::Refuse(refusal) => self.refuse(request, refusal.retry_after),
         }
     }
 
-    fn expire(&mut self, request: usize, place: u64) {
+    fn expire(&mut self, request: usize, wait: u64) {
         let req = &mut self.requests[request];
-        if req.places != place {
+        if req.waits != wait {
             return;
         }
-        let Some(key) = req.place.take() else {
+        let Some(key) = req.waiting_key.take() else {
             return;
         };
-        let (gateway, rank) = (req.gateway, self.pattern.kinds[req.kind].rank);
+        let (gateway, rank) = (req.gateway, self.scenario.kinds[req.kind].rank);
         if self.gateways[gateway].leave(key) {
             let refusal = self.gateways[gateway].refusal(time(self.now), rank);
             self.refuse(request, refusal.retry_after);
@@ -349,7 +350,7 @@
     }
 
     fn is_counted(&self, arrived: u64) -> bool {
-        arrived >= self.pattern.counted_from_ms
+        arrived >= self.scenario.counted_from_ms
     }
 
     fn refuse(&mut self, request: usize, retry_after: Millis) {
@@ -368,83 +369,83 @@
         let target = pick.target.as_str()[2..].parse().unwrap();
         let now = self.now;
         let req = &mut self.requests[request];
-        req.place = None;
+        req.waiting_key = None;
         req.sent = now;
         req.tried.push(pick.key);
         req.pick = Some(pick);
         let (gateway, kind) = (req.gateway, req.kind);
-        if (self.pattern.is_cut)(gateway, target) {
-            let ending = Ending::Unreachable;
-            self.schedule(CONNECT_MS, Event::Return { request, ending });
+        if (self.scenario.is_unreachable)(gateway, target) {
+            let result = SendResult::Unreachable;
+            self.schedule(CONNECT_TIMEOUT_MS, Event::EndSend { request, result });
             return;
         }
         self.requests[request].sends += 1;
-        self.outcome.sends.push(Send {
+        self.outcome.sends.push(SendRecord {
             at_ms: now,
             gateway,
             target,
-            class: self.pattern.kinds[kind].class,
+            class: self.scenario.kinds[kind].class,
         });
-        self.schedule(HOP_MS, Event::Reach { request, target });
+        self.schedule(ONE_WAY_DELAY_MS, Event::ReachTarget { request, target });
     }
 
-    fn reach(&mut self, request: usize, target: usize) {
-        let fails = (self.pattern.fails)(target, self.now);
-        if self.rng.random::<f64>() < fails {
-            let ending = Ending::Broken;
-            self.schedule(BREAK_MS, Event::Return { request, ending });
-        } else if self.targets[target].running < self.pattern.slots {
-            self.begin(request, target);
-        } else if self.targets[target].queue.len() < TARGET_QUEUE {
+    fn reach_target(&mut self, request: usize, target: usize) {
+        let failure_share = (self.scenario.failure_share)(target, self.now);
+        if self.rng.random::<f64>() < failure_share {
+            let result = SendResult::Broken;
+            self.schedule(FAILURE_DELAY_MS, Event::EndSend { request, result });
+        } else if self.targets[target].running < self.scenario.slots {
+            self.start_work(request, target);
+        } else if self.targets[target].queue.len() < TARGET_QUEUE_CAPACITY {
             self.targets[target].queue.push_back(request);
         } else {
-            let ending = Ending::Shed;
-            self.schedule(HOP_MS, Event::Return { request, ending });
+            let result = SendResult::Shed;
+            self.schedule(ONE_WAY_DELAY_MS, Event::EndSend { request, result });
         }
     }
 
-    fn begin(&mut self, request: usize, target: usize) {
+    fn start_work(&mut self, request: usize, target: usize) {
         self.targets[target].running += 1;
-        let kind = &self.pattern.kinds[self.requests[request].kind];
+        let kind = &self.scenario.kinds[self.requests[request].kind];
         let spread = self.rng.random_range(0.5..1.5);
-        let slowness = (self.pattern.slowness)(target, self.now);
-        let work = (kind.work_ms as f64 * spread * slowness) as u64;
+        let work_time_factor = (self.scenario.work_time_factor)(target, self.now);
+        let work = (kind.work_ms as f64 * spread * work_time_factor) as u64;
         self.schedule(work, Event::Complete { request, target });
     }
 
     fn complete(&mut self, request: usize, target: usize) {
         self.targets[target].running -= 1;
         if let Some(next) = self.targets[target].queue.pop_front() {
-            self.begin(next, target);
+            self.start_work(next, target);
         }
-        let lost = (self.pattern.loses_answers)(target, self.now);
-        let ending = if self.rng.random::<f64>() < lost {
-            Ending::Interrupted
+        let lost = (self.scenario.lost_answer_share)(target, self.now);
+        let result = if self.rng.random::<f64>() < lost {
+            SendResult::Interrupted
         } else {
-            Ending::Answer
+            SendResult::Answer
         };
-        self.schedule(HOP_MS, Event::Return { request, ending });
+        self.schedule(ONE_WAY_DELAY_MS, Event::EndSend { request, result });
     }
 
-    fn give_back(&mut self, request: usize, ending: Ending) {
+    fn end_send(&mut self, request: usize, result: SendResult) {
         let req = &self.requests[request];
         let gateway = req.gateway;
         let time_taken = Millis(self.now - req.sent);
         let key = req.pick.as_ref().unwrap().key;
         let dispatcher = &mut self.gateways[gateway];
-        let told = match ending {
-            Ending::Answer => dispatcher.judge_answer(time_taken, false),
-            Ending::Broken | Ending::Interrupted => Finding::of_break(time_taken),
-            Ending::Shed => Finding::Shed,
-            Ending::Unreachable => Finding::Unreachable,
+        let finding = match result {
+            SendResult::Answer => dispatcher.judge_answer(time_taken, false),
+            SendResult::Broken | SendResult::Interrupted => Finding::of_break(time_taken),
+            SendResult::Shed => Finding::Shed,
+            SendResult::Unreachable => Finding::Unreachable,
         };
-        dispatcher.finish(time(self.now), key, Some(told));
-        self.spread_findings(gateway);
+        dispatcher.finish(time(self.now), key, Some(finding));
+        self.publish_findings(gateway);
         self.start_waiting(gateway);
-        if ending == Ending::Answer {
+        if result == SendResult::Answer {
             self.answer(request);
         } else {
-            self.retry(request, ending);
+            self.retry(request, result);
         }
     }
 
@@ -453,7 +454,7 @@
         if !self.is_counted(req.arrived) {
             return;
         }
-        let kind = &self.pattern.kinds[req.kind];
+        let kind = &self.scenario.kinds[req.kind];
         let tally = &mut self.outcome.tallies[req.kind];
         let taken = self.now - req.arrived;
         tally.answer_ms.push(taken);
@@ -466,10 +467,10 @@
         }
     }
 
-    fn retry(&mut self, request: usize, ending: Ending) {
+    fn retry(&mut self, request: usize, result: SendResult) {
         let req = &self.requests[request];
-        let kind = &self.pattern.kinds[req.kind];
-        let is_lost = matches!(ending, Ending::Broken | Ending::Interrupted)
+        let kind = &self.scenario.kinds[req.kind];
+        let is_lost = matches!(result, SendResult::Broken | SendResult::Interrupted)
             && kind.class == RequestClass::Once;
         let is_over = self.now >= req.arrived + kind.deadline_ms;
         let may_resend = req.sends == 0
@@ -484,12 +485,12 @@
         self.place(request);
     }
 
-    fn spread_findings(&mut self, from: usize) {
+    fn publish_findings(&mut self, from: usize) {
         let findings = self.gateways[from].take_unreported();
         if findings.is_empty() {
             return;
         }
-        let now = time(self.now + HOP_MS);
+        let now = time(self.now + ONE_WAY_DELAY_MS);
         for (number, gateway) in self.gateways.iter_mut().enumerate() {
             if number != from {
                 gateway.hear_findings(now, &findings);
@@ -497,22 +498,25 @@
         }
     }
 
-    fn report(&mut self, from: usize, turn: u64) {
+    fn publish_load(&mut self, from: usize, round: u64) {
         let report = self.gateways[from].load_report(time(self.now));
         let name: VmId = format!("gateway-{from}").parse().unwrap();
         let now = time(self.now);
-        let is_far_turn = turn.is_multiple_of(self.pattern.reports_per_far);
-        let data_centres = self.pattern.data_centres;
+        let includes_remote = round.is_multiple_of(self.scenario.local_reports_per_remote);
+        let data_centres = self.scenario.data_centres;
         for number in 0..self.gateways.len() {
-            let is_near = number % data_centres == from % data_centres;
-            if number != from && (is_near || is_far_turn) {
+            let is_local = number % data_centres == from % data_centres;
+            if number != from && (is_local || includes_remote) {
                 self.gateways[number].hear_load(now, &name, report.clone());
                 self.start_waiting(number);
             }
         }
-        if self.now < self.pattern.length_ms + 5_000 {
-            let (gateway, turn) = (from, turn + 1);
-            self.schedule(self.pattern.report_ms, Event::Report { gateway, turn });
+        if self.now < self.scenario.duration_ms + 5_000 {
+            let (gateway, round) = (from, round + 1);
+            self.schedule(
+                self.scenario.report_interval_ms,
+                Event::PublishLoad { gateway, round },
+            );
         }
     }
 
