--- a/crates/auburnbridge_policy/src/balance/balancer.rs
+++ b/crates/auburnbridge_policy/src/balance/balancer.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Replaces the set of targets that accept requests.
+    /// Replaces the set of targets that accept requests; targets that are not listed are removed.
     pub fn set_members(&mut self, now: Timestamp, members: &[BalancedMember]) {
         // After its own start a gateway can't tell which targets are still warming up.
         let warmup_until = match self.by_id.len() {
--- a/crates/auburnbridge_policy/src/balance/dispatcher.rs
+++ b/crates/auburnbridge_policy/src/balance/dispatcher.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Replaces the set of targets that accept requests.
+    /// Replaces the set of targets that accept requests; targets that are not listed are removed.
     pub fn set_members(&mut self, now: Timestamp, members: &[BalancedMember]) {
         self.balancer.set_members(now, members);
     }
@@ -122,7 +122,7 @@
             .has_remaining(now, self.balancer.gateway_count(), RESERVED_SHARE)
     }
 
-    /// Starts, queues or refuses a request; `item` is called only if it is queued.
+    /// Starts, queues or refuses a request; `item` is called only if it can't start at once.
     pub fn place(
         &mut self,
         now: Timestamp,
@@ -149,7 +149,7 @@
         }
         let summary = self.balancer.summary(now);
         if summary.trusted == 0 {
-            // No trusted target is left whose slots could become free.
+            // Without a trusted target there is no slot worth waiting for.
             return match self
                 .balancer
                 .pick_any(now, need.class, need.tried, &mut self.rng)
--- a/crates/auburnbridge_policy/src/balance/mod.rs
+++ b/crates/auburnbridge_policy/src/balance/mod.rs
@@ -1,11 +1,11 @@
 //! Load balancing over the targets of a service, by load and failure evidence shared by all
 //! gateways.
 //!
-//! A single gateway may send only one request to a target every few seconds, so on its own it would
-//! detect a failing target only by losing requests of its callers, as would every other gateway.
-//! The gateways therefore report evidence against a target to each other immediately, and their
-//! requests in flight per target several times a second. A [`Balancer`] selects targets by the
-//! combined data; a [`Dispatcher`] adds the queue of waiting requests.
+//! A single gateway sends requests to a given target at most every few seconds, so on its own it
+//! would detect a failing target only by losing requests of its callers, as would every other
+//! gateway. The gateways therefore report evidence against a target to each other immediately, and
+//! their requests in flight per target several times a second. A [`Balancer`] selects targets by
+//! the combined data; a [`Dispatcher`] adds the queue of waiting requests.
 //!
 //! Connection failures are evidence about the path from this VM and are kept separate: they are not
 //! reported to other gateways, and successes of other gateways don't offset them.
--- a/crates/auburnbridge_policy/src/balance/report.rs
+++ b/crates/auburnbridge_policy/src/balance/report.rs
@@ -60,8 +60,8 @@
     pub target: TargetHash,
     /// Number of requests.
     pub in_flight: u8,
-    /// Time since the target last gave a proof that it works, in steps of 8 ms; 255 if it is
-    /// unknown or longer ago.
+    /// Time since the start of the latest request that proved that the target works, in steps of
+    /// 8 ms; 255 if it is unknown or longer ago.
     pub proof_age: u8,
 }
 
--- a/crates/auburnbridge_policy/src/balance/selection.rs
+++ b/crates/auburnbridge_policy/src/balance/selection.rs
@@ -138,13 +138,13 @@
     /// Time between trials, spread per gateway and target up to twice the minimum. Otherwise two
     /// gateways that both have the target in their subset would try it at the same moment.
     fn trial_interval(&self, now: Timestamp, target: &BalancedTarget) -> Millis {
-        let shortest = if target.answered_last || target.suspicion(now) < STRONG_NATS {
+        let min_interval = if target.answered_last || target.suspicion(now) < STRONG_NATS {
             WEAK_TRIAL_INTERVAL
         } else {
             STRONG_TRIAL_INTERVAL
         };
-        let spread = (self.options.seed ^ u64::from(target.hash.0)) % shortest.0;
-        Millis(shortest.0 + spread)
+        let spread = (self.options.seed ^ u64::from(target.hash.0)) % min_interval.0;
+        Millis(min_interval.0 + spread)
     }
 
     /// Selects a target of the best tier, up to `worst`. In the gateway's subset this is the target
--- a/crates/auburnbridge_policy/src/balance/wait_queue.rs
+++ b/crates/auburnbridge_policy/src/balance/wait_queue.rs
@@ -86,7 +86,7 @@
     waiting: BTreeMap<WaitingKey, T>,
     next_number: u64,
     arrivals: BTreeMap<u32, EventRate>,
-    /// Time since which the queue has not been empty.
+    /// When the queue last became non-empty.
     nonempty_since: Timestamp,
 }
 
