--- a/crates/auburnbridge_policy/examples/admission/simulation.rs
+++ b/crates/auburnbridge_policy/examples/admission/simulation.rs
@@ -318,7 +318,7 @@
 
     fn retry(&mut self, entry: usize, request: Request) {
         if let Sharing::Queue(_) = self.plan.sharing {
-            self.entries[entry].queue.put_back(Waiting {
+            self.entries[entry].queue.requeue(Waiting {
                 class: request.class,
                 deadline: timestamp(deadline_us(request)),
                 item: request,
--- a/crates/auburnbridge_policy/src/admission.rs
+++ b/crates/auburnbridge_policy/src/admission.rs
@@ -1,8 +1,9 @@
-//! Admission of one service's requests on one entry.
+//! Admission control for the requests of one service on one entry.
 //!
-//! Requests wait in a bounded queue per class. Non-idempotent ones go first; lookups that wait keep a
-//! share of the starts. The number of requests in flight follows the targets: it grows while answers
-//! come and falls when targets shed, so that the entries share the slots without a shared counter.
+//! Requests wait in a bounded queue per class. Non-idempotent requests have priority, and queued
+//! idempotent requests are guaranteed a share of the starts. The limit on requests in flight is
+//! adaptive: it increases with answers and decreases when targets shed, so that the entries share the
+//! slots without a shared counter.
 
 use std::collections::VecDeque;
 
@@ -10,45 +11,45 @@
 
 use crate::RequestClass;
 
-/// Factor of the concurrency limit after a shed. Under overload the limit settles where one answer
-/// comes with `1 / ((1 - DECREASE) * limit^2)` sheds, which equals about one shed at a limit of 6; a
-/// smaller factor left a fifth of the slots idle.
-const DECREASE: f64 = 0.97;
-/// Multiple of the mean service time that must be left before a deadline. With the mean alone a
-/// third of the lookups that started under overload were answered too late.
-const SERVICE_MARGIN: f64 = 3.0;
+/// Multiplicative decrease of the concurrency limit after a shed. Under overload the limit converges
+/// to `1 / ((1 - SHED_DECREASE) * limit^2)` sheds per answer, which is about one shed at a limit of 6;
+/// a smaller factor left a fifth of the slots idle.
+const SHED_DECREASE: f64 = 0.97;
+/// Multiple of the mean service time that must be left before a deadline. With the mean alone, a
+/// third of the idempotent requests that started under overload were answered after their deadline.
+const SERVICE_TIME_MARGIN: f64 = 3.0;
 /// Lower bound of the concurrency limit.
-const LEAST_CONCURRENCY: f64 = 2.0;
-/// Weight of the newest sample in averages.
+const MIN_CONCURRENCY: f64 = 2.0;
+/// Weight of the newest sample in the exponential moving averages.
 const AVERAGE_WEIGHT: f64 = 0.05;
-/// Service time that is assumed for the wait in the queue before any was measured.
+/// Service time assumed for estimates of the queueing delay before the first measurement.
 const ASSUMED_SERVICE_MS: f64 = 50.0;
-/// Time that a started request needs at least: the resolution of the clock. Before any service time
-/// was measured nothing longer is assumed, or an idle entry would reject short deadlines.
-const LEAST_SERVICE: Millis = Millis(1);
-/// Share of the slots to which non-idempotent work may exceed the concurrency limit, which
-/// lookups fill; targets with a free slot run it, and the others shed it at once.
-const ONCE_EXCESS: f64 = 0.25;
-
-/// Slots that are kept free of lookups for non-idempotent work that is yet to come.
+/// Lower bound of the service time: the resolution of the clock. Before the first measurement nothing
+/// longer is assumed, since an idle entry would otherwise reject requests with short deadlines.
+const MIN_SERVICE_TIME: Millis = Millis(1);
+/// Share of the slots by which non-idempotent requests may exceed the concurrency limit, since
+/// idempotent requests may fill it. Targets with a free slot run the excess; the others shed it at once.
+const ONCE_OVERCOMMIT: f64 = 0.25;
+
+/// Slots that idempotent requests leave free for future non-idempotent requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reservation {
-    /// None: a non-idempotent request may find all slots taken and waits for the next to be free.
+    /// No slots: a non-idempotent request that finds all slots taken waits for the next free one.
     None,
     /// A fixed share of the concurrency limit.
     Fixed(f64),
-    /// As many as the non-idempotent requests that are expected within one service time.
+    /// As many slots as non-idempotent requests are expected within one service time.
     LookAhead,
 }
 
 /// Settings of an [`AdmissionQueue`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionPolicy {
-    /// Requests that may wait, of each class.
+    /// Maximum number of queued requests per class.
     pub queue_limit: usize,
-    /// Share of the starts that waiting lookups keep.
+    /// Share of the starts guaranteed to queued idempotent requests.
     pub lookup_share: f64,
-    /// Slots kept free for non-idempotent work.
+    /// Slots reserved for non-idempotent requests.
     pub reservation: Reservation,
 }
 
@@ -62,100 +63,100 @@
     }
 }
 
-/// A request that waits for its start.
+/// A queued request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Waiting<T> {
-    /// Its class.
+    /// Class of the request.
     pub class: RequestClass,
-    /// Time after which nobody waits for the answer.
+    /// Time after which the caller no longer waits for the answer.
     pub deadline: Timestamp,
     /// The caller's handle of the request.
     pub item: T,
 }
 
-/// A request that was not admitted; it did not run.
+/// A request that was not admitted and did not run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rejected<T> {
     /// The request.
     pub request: Waiting<T>,
-    /// Time after which it may be sent again.
+    /// Time after which the caller may send the request again.
     pub retry_after: Millis,
 }
 
-/// What to do with the next waiting request.
+/// A request taken from the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Next<T> {
-    /// Send it to a target.
+    /// The request is to be sent to a target.
     Start(Waiting<T>),
-    /// Its deadline is over or too close; it did not run.
+    /// The deadline has passed or can't be met; the request did not run.
     Expired(Waiting<T>),
 }
 
-/// How a started request ended, as far as it matters for admission.
+/// Result of a started request, as far as it is relevant to admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// The target answered after this time.
+    /// The target answered after this service time.
     Answered(Millis),
-    /// The target shed it.
+    /// The target shed the request.
     Shed,
-    /// Any other end, which says nothing about free slots.
+    /// Any other result, which says nothing about free slots.
     Other,
 }
 
-/// The waiting and running requests of one service on one entry.
+/// The queued and running requests of one service on one entry.
 #[derive(Clone, Debug)]
 pub struct AdmissionQueue<T> {
     policy: AdmissionPolicy,
     once: VecDeque<Waiting<T>>,
-    lookups: VecDeque<Waiting<T>>,
+    idempotent: VecDeque<Waiting<T>>,
     running_once: u32,
-    running_lookups: u32,
-    concurrency: f64,
+    running_idempotent: u32,
+    concurrency_limit: f64,
     slots: f64,
-    lookup_credit: f64,
+    idempotent_credit: f64,
     service_ms: f64,
-    has_measured: bool,
-    once_gap_ms: f64,
-    last_once: Option<Timestamp>,
+    has_service_sample: bool,
+    once_interarrival_ms: f64,
+    last_once_arrival: Option<Timestamp>,
 }
 
 impl<T> AdmissionQueue<T> {
-    /// Creates an empty queue in front of so many slots.
+    /// Creates an empty queue for targets with `in_use` slots in total.
     pub fn new(policy: AdmissionPolicy, in_use: Slots) -> Self {
         let slots = f64::from(in_use.0.max(1));
         Self {
             policy,
             once: VecDeque::new(),
-            lookups: VecDeque::new(),
+            idempotent: VecDeque::new(),
             running_once: 0,
-            running_lookups: 0,
-            concurrency: (slots / 4.0).max(LEAST_CONCURRENCY),
+            running_idempotent: 0,
+            concurrency_limit: (slots / 4.0).max(MIN_CONCURRENCY),
             slots,
-            lookup_credit: 0.0,
+            idempotent_credit: 0.0,
             service_ms: ASSUMED_SERVICE_MS,
-            has_measured: false,
-            once_gap_ms: f64::INFINITY,
-            last_once: None,
+            has_service_sample: false,
+            once_interarrival_ms: f64::INFINITY,
+            last_once_arrival: None,
         }
     }
 
-    /// Takes over the slots in use, the upper bound of the requests in flight. Slots that are new
-    /// count as free until a target sheds.
+    /// Sets the slots in use, which bound the requests in flight. Added slots count as free until a
+    /// target sheds.
     pub fn set_slots(&mut self, in_use: Slots) {
         let slots = f64::from(in_use.0.max(1));
         let added = (slots - self.slots).max(0.0);
         self.slots = slots;
-        self.concurrency = (self.concurrency + added).min(slots);
+        self.concurrency_limit = (self.concurrency_limit + added).min(slots);
     }
 
-    /// Queues a request, or rejects it if it would wait in vain.
+    /// Queues a request, or rejects it if the queue is full or its deadline can't be met.
     pub fn offer(&mut self, now: Timestamp, request: Waiting<T>) -> Result<(), Rejected<T>> {
         if request.class == RequestClass::Once {
             self.record_once_arrival(now);
         }
         let wait = self.expected_wait(request.class);
         let is_full = self.queue(request.class).len() >= self.policy.queue_limit;
-        if is_full || now.after(wait).after(self.service_time()) >= request.deadline {
+        if is_full || now.after(wait).after(self.service_time_bound()) >= request.deadline {
             let retry_after = Millis(wait.0.max(1));
             return Err(Rejected {
                 request,
@@ -166,128 +167,131 @@
         Ok(())
     }
 
-    /// Puts a request that a target shed back to the head of its queue.
-    pub fn put_back(&mut self, request: Waiting<T>) {
+    /// Returns a request that a target shed to the head of its queue.
+    pub fn requeue(&mut self, request: Waiting<T>) {
         self.queue_mut(request.class).push_front(request);
     }
 
-    /// Takes the next request that may start or whose deadline is too close; call it until it gives none.
+    /// Takes the next request that may start or has expired; callers repeat this until it returns `None`.
     pub fn next(&mut self, now: Timestamp) -> Option<Next<T>> {
-        // A request that can't be answered in time would take a slot for nothing.
-        let finished = now.after(self.service_time());
+        // A request that can't be answered before its deadline would waste a slot.
+        let earliest_end = now.after(self.service_time_bound());
         for class in [RequestClass::Once, RequestClass::Idempotent] {
             let queue = self.queue_mut(class);
             if queue
                 .front()
-                .is_some_and(|request| request.deadline <= finished)
+                .is_some_and(|request| request.deadline <= earliest_end)
             {
                 return self.queue_mut(class).pop_front().map(Next::Expired);
             }
         }
         let class = self.next_class()?;
         let request = self.queue_mut(class).pop_front()?;
-        self.count_start(class);
+        self.record_start(class);
         Some(Next::Start(request))
     }
 
     fn next_class(&self) -> Option<RequestClass> {
-        let once_waits = !self.once.is_empty();
-        let lookup_waits = !self.lookups.is_empty();
-        let running = f64::from(self.running_once + self.running_lookups);
-        let is_owed = lookup_waits && self.lookup_credit >= 1.0;
-        if is_owed && running < self.concurrency {
+        let has_once = !self.once.is_empty();
+        let has_idempotent = !self.idempotent.is_empty();
+        let running = f64::from(self.running_once + self.running_idempotent);
+        let has_credit = has_idempotent && self.idempotent_credit >= 1.0;
+        if has_credit && running < self.concurrency_limit {
             return Some(RequestClass::Idempotent);
         }
-        if once_waits {
-            let limit = self.concurrency + (self.slots * ONCE_EXCESS).min(self.concurrency);
+        if has_once {
+            let limit =
+                self.concurrency_limit + (self.slots * ONCE_OVERCOMMIT).min(self.concurrency_limit);
             return (running < limit).then_some(RequestClass::Once);
         }
-        (lookup_waits && self.admits_lookup(running)).then_some(RequestClass::Idempotent)
+        (has_idempotent && self.admits_idempotent(running)).then_some(RequestClass::Idempotent)
     }
 
-    fn admits_lookup(&self, running: f64) -> bool {
-        let kept = (self.concurrency * self.policy.lookup_share).max(1.0);
-        if f64::from(self.running_lookups) < kept && running < self.concurrency {
+    fn admits_idempotent(&self, running: f64) -> bool {
+        let guaranteed = (self.concurrency_limit * self.policy.lookup_share).max(1.0);
+        if f64::from(self.running_idempotent) < guaranteed && running < self.concurrency_limit {
             return true;
         }
         let reserved = match self.policy.reservation {
             Reservation::None => 0.0,
-            Reservation::Fixed(share) => self.concurrency * share,
-            Reservation::LookAhead => self.expected_once(),
+            Reservation::Fixed(share) => self.concurrency_limit * share,
+            Reservation::LookAhead => self.expected_once_in_flight(),
         };
-        let unused = (reserved - f64::from(self.running_once)).max(0.0);
-        running + unused < self.concurrency
+        let free_reserved = (reserved - f64::from(self.running_once)).max(0.0);
+        running + free_reserved < self.concurrency_limit
     }
 
-    /// Non-idempotent requests in flight by Little's law, and one standard deviation more.
-    fn expected_once(&self) -> f64 {
-        let mean = self.service_ms / self.once_gap_ms;
+    /// Expected non-idempotent requests in flight by Little's law, plus one standard deviation.
+    fn expected_once_in_flight(&self) -> f64 {
+        let mean = self.service_ms / self.once_interarrival_ms;
         mean + mean.sqrt()
     }
 
-    /// Time that a started request needs at most, but for rare ones.
-    fn service_time(&self) -> Millis {
-        if self.has_measured {
-            Millis(whole_millis(self.service_ms * SERVICE_MARGIN)).max(LEAST_SERVICE)
+    /// Upper estimate of the service time, which only outliers exceed.
+    fn service_time_bound(&self) -> Millis {
+        if self.has_service_sample {
+            Millis(whole_millis(self.service_ms * SERVICE_TIME_MARGIN)).max(MIN_SERVICE_TIME)
         } else {
-            LEAST_SERVICE
+            MIN_SERVICE_TIME
         }
     }
 
-    fn count_start(&mut self, class: RequestClass) {
+    fn record_start(&mut self, class: RequestClass) {
         match class {
             RequestClass::Once => {
                 self.running_once += 1;
-                if self.lookups.is_empty() {
-                    self.lookup_credit = 0.0;
+                if self.idempotent.is_empty() {
+                    self.idempotent_credit = 0.0;
                 } else {
                     let share = self.policy.lookup_share;
-                    self.lookup_credit = (self.lookup_credit + share / (1.0 - share)).min(2.0);
+                    self.idempotent_credit =
+                        (self.idempotent_credit + share / (1.0 - share)).min(2.0);
                 }
             }
             RequestClass::Idempotent => {
-                self.running_lookups += 1;
-                self.lookup_credit = (self.lookup_credit - 1.0).max(0.0);
+                self.running_idempotent += 1;
+                self.idempotent_credit = (self.idempotent_credit - 1.0).max(0.0);
             }
         }
     }
 
-    /// Takes over one service time; the first one replaces the assumption.
+    /// Adds a service time to the average; the first sample replaces the assumed value.
     fn record_service_time(&mut self, time_ms: f64) {
-        if self.has_measured {
+        if self.has_service_sample {
             self.service_ms += (time_ms - self.service_ms) * AVERAGE_WEIGHT;
         } else {
             self.service_ms = time_ms;
-            self.has_measured = true;
+            self.has_service_sample = true;
         }
     }
 
-    /// Lowers the limit after a shed of a request that goes on at another target.
+    /// Decreases the limit after a target shed a request that continues on another target.
     pub fn record_shed(&mut self) {
-        self.concurrency = (self.concurrency * DECREASE).max(LEAST_CONCURRENCY);
+        self.concurrency_limit = (self.concurrency_limit * SHED_DECREASE).max(MIN_CONCURRENCY);
     }
 
-    /// Takes over changed settings; requests that wait keep their places.
+    /// Replaces the settings; queued requests keep their positions.
     pub fn set_policy(&mut self, policy: AdmissionPolicy) {
         self.policy = policy;
     }
 
-    /// Ends a started request.
+    /// Records the end of a started request.
     pub fn finish(&mut self, class: RequestClass, ended: Ended) {
-        let was_full = f64::from(self.running_once + self.running_lookups) >= self.concurrency;
+        let was_at_limit =
+            f64::from(self.running_once + self.running_idempotent) >= self.concurrency_limit;
         match class {
             RequestClass::Once => self.running_once = self.running_once.saturating_sub(1),
             RequestClass::Idempotent => {
-                self.running_lookups = self.running_lookups.saturating_sub(1);
+                self.running_idempotent = self.running_idempotent.saturating_sub(1);
             }
         }
         match ended {
             Ended::Answered(time) => {
                 let time_ms = f64::from(u32::try_from(time.0).unwrap_or(u32::MAX));
                 self.record_service_time(time_ms);
-                if was_full {
-                    let grown = self.concurrency + 1.0 / self.concurrency;
-                    self.concurrency = grown.min(self.slots);
+                if was_at_limit {
+                    let grown = self.concurrency_limit + 1.0 / self.concurrency_limit;
+                    self.concurrency_limit = grown.min(self.slots);
                 }
             }
             Ended::Shed => self.record_shed(),
@@ -295,54 +299,55 @@
         }
     }
 
-    /// Time that a new request of the class would wait.
+    /// Estimated queueing delay of a new request of this class.
     pub fn expected_wait(&self, class: RequestClass) -> Millis {
         let share = match class {
             RequestClass::Once => 1.0,
-            // Lookups get what non-idempotent work leaves, and at least their share.
+            // Idempotent requests get the remaining capacity, and at least their guaranteed share.
             RequestClass::Idempotent => (1.0
-                - self.service_ms / self.once_gap_ms / self.concurrency)
+                - self.service_ms / self.once_interarrival_ms / self.concurrency_limit)
                 .max(self.policy.lookup_share),
         };
         let ahead = u32::try_from(self.queue(class).len()).unwrap_or(u32::MAX);
-        let wait = f64::from(ahead) * self.service_ms / (self.concurrency * share);
+        let wait = f64::from(ahead) * self.service_ms / (self.concurrency_limit * share);
         Millis(whole_millis(wait))
     }
 
-    /// Limit of the requests in flight.
-    pub fn concurrency(&self) -> f64 {
-        self.concurrency
+    /// Current limit on requests in flight.
+    pub fn concurrency_limit(&self) -> f64 {
+        self.concurrency_limit
     }
 
-    /// Requests that wait, of both classes.
+    /// Number of queued requests of both classes.
     pub fn waiting(&self) -> usize {
-        self.once.len() + self.lookups.len()
+        self.once.len() + self.idempotent.len()
     }
 
     fn record_once_arrival(&mut self, now: Timestamp) {
-        if let Some(last) = self.last_once {
-            let gap = f64::from(u32::try_from(now.since(last).0).unwrap_or(u32::MAX));
-            if self.once_gap_ms.is_finite() {
-                self.once_gap_ms += (gap - self.once_gap_ms) * AVERAGE_WEIGHT;
+        if let Some(last) = self.last_once_arrival {
+            let interarrival = f64::from(u32::try_from(now.since(last).0).unwrap_or(u32::MAX));
+            if self.once_interarrival_ms.is_finite() {
+                self.once_interarrival_ms +=
+                    (interarrival - self.once_interarrival_ms) * AVERAGE_WEIGHT;
             } else {
-                self.once_gap_ms = gap;
+                self.once_interarrival_ms = interarrival;
             }
-            self.once_gap_ms = self.once_gap_ms.max(0.1);
+            self.once_interarrival_ms = self.once_interarrival_ms.max(0.1);
         }
-        self.last_once = Some(now);
+        self.last_once_arrival = Some(now);
     }
 
     fn queue(&self, class: RequestClass) -> &VecDeque<Waiting<T>> {
         match class {
             RequestClass::Once => &self.once,
-            RequestClass::Idempotent => &self.lookups,
+            RequestClass::Idempotent => &self.idempotent,
         }
     }
 
     fn queue_mut(&mut self, class: RequestClass) -> &mut VecDeque<Waiting<T>> {
         match class {
             RequestClass::Once => &mut self.once,
-            RequestClass::Idempotent => &mut self.lookups,
+            RequestClass::Idempotent => &mut self.idempotent,
         }
     }
 }
--- a/crates/auburnbridge_policy/src/poison.rs
+++ b/crates/auburnbridge_policy/src/poison.rs
@@ -1,19 +1,19 @@
-//! Requests that crash each target that runs them.
+//! Detection of poison requests, which crash each target that runs them.
 //!
-//! A request is known by the whole digest of its account, method, path and body, so no other request
-//! is refused in its place. The table is bounded; when it is full the oldest report goes first.
+//! A request is identified by the full digest of its account, method, path and body, so that no other
+//! request is refused by mistake. The table is bounded; when it is full, the oldest report is evicted.
 
 use std::collections::{HashMap, VecDeque};
 
 use auburnbridge_types::{BodyDigest, Incarnation, Millis, TargetId, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// Distinct targets that a request may crash before it is refused.
+/// Number of crashed target instances after which a request is refused.
 pub const CRASH_LIMIT: usize = 2;
-/// Time for which crashes are remembered and a poisoned request is refused.
+/// Time for which crashes are kept and a poisoned request is refused.
 pub const POISON_TIME: Millis = Millis(10 * 60 * 1000);
-/// Requests with a remembered crash.
-const TABLE_LIMIT: usize = 4_096;
+/// Maximum number of requests in the table.
+const MAX_REQUESTS: usize = 4_096;
 
 /// A crash of a target while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,75 +22,75 @@
     pub request: BodyDigest,
     /// The target that crashed.
     pub target: TargetId,
-    /// The life of the target that ended.
+    /// Incarnation of the target that crashed.
     pub incarnation: Incarnation,
 }
 
 #[derive(Clone, Debug)]
 struct Crashes {
-    lives: Vec<(TargetId, Incarnation)>,
-    last: Timestamp,
+    instances: Vec<(TargetId, Incarnation)>,
+    last_crash: Timestamp,
 }
 
-/// The crashes that one entry knows of.
+/// The crash reports that one process knows of.
 #[derive(Clone, Debug, Default)]
 pub struct PoisonTable {
     requests: HashMap<BodyDigest, Crashes>,
-    // Holds each request once per report; stale positions are skipped when they come up.
-    order: VecDeque<(Timestamp, BodyDigest)>,
+    // One element per report, in order of arrival; stale elements are skipped.
+    reports: VecDeque<(Timestamp, BodyDigest)>,
 }
 
 impl PoisonTable {
-    /// Takes over a report of this or another entry; a repeated one changes nothing.
+    /// Records a report of this or another process; a repeated report has no effect.
     pub fn record(&mut self, now: Timestamp, report: CrashReport) {
         self.expire(now);
         let crashes = self.requests.entry(report.request).or_insert(Crashes {
-            lives: Vec::new(),
-            last: now,
+            instances: Vec::new(),
+            last_crash: now,
         });
-        let life = (report.target, report.incarnation);
-        if crashes.lives.contains(&life) || crashes.lives.len() >= CRASH_LIMIT {
+        let instance = (report.target, report.incarnation);
+        if crashes.instances.contains(&instance) || crashes.instances.len() >= CRASH_LIMIT {
             return;
         }
-        crashes.lives.push(life);
-        crashes.last = now;
-        self.order.push_back((now, report.request));
-        while self.requests.len() > TABLE_LIMIT {
-            let Some((_, oldest)) = self.order.pop_front() else {
+        crashes.instances.push(instance);
+        crashes.last_crash = now;
+        self.reports.push_back((now, report.request));
+        while self.requests.len() > MAX_REQUESTS {
+            let Some((_, oldest)) = self.reports.pop_front() else {
                 return;
             };
             self.requests.remove(&oldest);
         }
     }
 
-    /// Whether the request has crashed enough targets to be refused.
+    /// Whether the request has crashed [`CRASH_LIMIT`] targets and is to be refused.
     pub fn is_poisoned(&self, now: Timestamp, request: &BodyDigest) -> bool {
         self.requests.get(request).is_some_and(|crashes| {
-            crashes.lives.len() >= CRASH_LIMIT && now.since(crashes.last) < POISON_TIME
+            crashes.instances.len() >= CRASH_LIMIT && now.since(crashes.last_crash) < POISON_TIME
         })
     }
 
-    /// Number of requests with a remembered crash.
+    /// Number of requests in the table.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether no crash is remembered.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
     fn expire(&mut self, now: Timestamp) {
-        while let Some((reported, request)) = self.order.front().copied() {
+        while let Some((reported, request)) = self.reports.front().copied() {
             if now.since(reported) < POISON_TIME {
                 return;
             }
-            self.order.pop_front();
-            let over = self
+            self.reports.pop_front();
+            let is_expired = self
                 .requests
                 .get(&request)
-                .is_some_and(|crashes| now.since(crashes.last) >= POISON_TIME);
-            if over {
+                .is_some_and(|crashes| now.since(crashes.last_crash) >= POISON_TIME);
+            if is_expired {
                 self.requests.remove(&request);
             }
         }
--- a/crates/auburnbridge_policy/tests/admission.rs
+++ b/crates/auburnbridge_policy/tests/admission.rs
@@ -126,7 +126,7 @@
                 4 if !running.is_empty() => {
                     let request = running.remove(0);
                     queue.finish(request.class, Ended::Shed);
-                    queue.put_back(request);
+                    queue.requeue(request);
                 }
                 _ => {}
             }
