--- a/crates/auburnbridge_policy/src/decision.rs
+++ b/crates/auburnbridge_policy/src/decision.rs
@@ -1,70 +1,70 @@
-//! Changes of a target's state, with the figures that led to them.
+//! State changes of targets, with the values that caused them.
 
 use std::fmt;
 
 use auburnbridge_types::{Slots, TargetId};
 use strum::{Display, IntoStaticStr};
 
-/// What happened to a target.
+/// State change of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Action {
-    /// The target became known.
+    /// The target was added.
     Add,
-    /// The target was taken out of service.
+    /// The target was ejected and gets no requests.
     Eject,
-    /// An ejection was due, and the floor prevented it.
+    /// The floor prevented an ejection that was due.
     Keep,
-    /// An ejected target gets a little work again.
+    /// An ejected target gets single requests again.
     Trial,
-    /// The target is back in full service.
+    /// The target gets its full share of requests again.
     Reinstate,
-    /// The target left or was forgotten.
+    /// The target left or its record expired.
     Remove,
 }
 
-/// Why it happened.
+/// Cause of a state change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Reason {
     /// The target announced itself.
     Announced,
-    /// The target announced that it is leaving, or its record expired.
+    /// The target announced its departure, or its record expired.
     Departed,
-    /// Evidence from real work passed the threshold.
+    /// This entry's evidence from requests exceeded the threshold.
     Suspicion,
-    /// Evidence of several entries together passed the threshold.
+    /// The combined evidence of several entries exceeded the threshold.
     SharedSuspicion,
-    /// The lease ran out and no work succeeded since.
+    /// The lease expired and no request has succeeded since.
     LeaseLost,
-    /// The ejection's time is over.
+    /// The ejection time elapsed.
     EjectionOver,
-    /// The trial succeeded.
+    /// Enough trial requests succeeded.
     TrialPassed,
-    /// The trial failed.
+    /// A trial request failed.
     TrialFailed,
-    /// In-use slots would be below the floor.
+    /// Otherwise the slots in use would fall below the floor.
     Floor,
-    /// The target restarted, so older evidence is void.
+    /// The target restarted, which invalidates older evidence.
     Restarted,
 }
 
-/// One change of state.
+/// A state change of one target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
-    /// The target concerned.
+    /// The affected target.
     pub target: TargetId,
-    /// What happened.
+    /// The state change.
     pub action: Action,
-    /// Why it happened.
+    /// The cause.
     pub reason: Reason,
     /// Evidence against the target, in nats.
     pub suspicion: f64,
-    /// Evidence at which a target is ejected, in nats.
+    /// Evidence at which the target is ejected, in nats.
     pub threshold: f64,
     /// Slots in use after the change.
     pub in_use: Slots,
-    /// The operator's floor.
+    /// Minimum slots in use, as configured.
     pub floor: Slots,
 }
 
--- a/crates/auburnbridge_policy/src/evidence.rs
+++ b/crates/auburnbridge_policy/src/evidence.rs
@@ -1,61 +1,61 @@
-//! Evidence shared between entries.
+//! Evidence about targets that entries exchange.
 //!
-//! Each entry reports only what it saw itself, so that reports never echo. An entry reports a target
-//! that it suspects, and, as counter-evidence, a target that others suspect and that works for it.
+//! An entry reports only its own observations, so that evidence is never counted twice. It reports the
+//! targets that it suspects and, as counter-evidence, targets that others suspect and that work for it.
 //!
-//! Reports are summed up, failures against and healthy observations in favour of the target, so that
-//! the number of entries that see the problem and of those that see none decides. One entry alone
-//! never counts, since its link may be bad, and the share of each is capped. The greater of two sums
-//! is taken:
+//! The reports are summed up, failures against the target and healthy observations in its favour, so
+//! that the result depends on how many entries see the problem and how many don't. A single entry
+//! never suffices, since its link may be bad, and the contribution of each is capped. The greater of
+//! two sums counts:
 //!
-//! - The own data centre alone, since a target may be sick for one data centre only.
-//! - All data centres, where another one counts at most as much as one entry. Without that cap, one
-//!   failure by chance in each other data centre spread the ejection to all of them; and without the
-//!   healthy observations of all data centres, failures by chance ejected targets about 8 times a day
-//!   at the careful setting.
+//! - The sum of this entry's data centre, since a target may be unhealthy for one data centre only.
+//! - The sum of all data centres, where each other one counts at most as much as one entry. Without
+//!   that cap, one random failure in each other data centre spread the ejection to all of them.
+//!   Without the healthy observations of all data centres, random failures ejected targets about 8
+//!   times a day at the setting `careful`.
 
 use auburnbridge_types::{DataCentre, Incarnation, Millis, TargetId, Timestamp, VmId};
 use serde::{Deserialize, Serialize};
 
-use crate::health::{SUSPICION_LIMIT, success_evidence};
+use crate::health::{MAX_SUSPICION, success_evidence};
 
-/// Reports of one message; the most suspicious targets come first.
-pub(crate) const REPORT_LIMIT: usize = 32;
-/// Suspicion from which an entry reports a target, in nats: one slow answer.
-pub(crate) const REPORT_MINIMUM: f64 = 1.9;
-/// Time after which a report no longer counts.
+/// Maximum number of reports in a message; the most suspicious targets come first.
+pub(crate) const MAX_REPORTS: usize = 32;
+/// Suspicion from which an entry reports a target, in nats: that of one slow answer.
+pub(crate) const REPORT_THRESHOLD: f64 = 1.9;
+/// Time after which a report expires.
 pub(crate) const REPORT_LIFETIME: Millis = Millis(3_000);
 /// Interval at which an unchanged report is repeated.
 const REPORT_INTERVAL: Millis = Millis(1_000);
-/// Change of the suspicion that is reported at once, in nats.
-const REPORT_CHANGE: f64 = 1.0;
-/// Entries whose reports are kept for one target; there are 13 to 16 entries in front of it.
-const WITNESS_LIMIT: usize = 32;
-/// Targets that one entry suspects at the same time and that count in full; with more, their weight
-/// falls, because an entry that suspects many targets may have a bad link itself.
+/// Change of the suspicion from which it is reported at once, in nats.
+const MIN_REPORTED_CHANGE: f64 = 1.0;
+/// Maximum number of entries whose reports are kept per target; 13 to 16 entries send to it.
+const MAX_REPORTERS: usize = 32;
+/// Number of targets that an entry may suspect at the same time with full weight. With more, the
+/// weight of each falls, since an entry that suspects many targets may have a bad link itself.
 const FULL_WEIGHT_SUSPECTS: f64 = 2.0;
-/// Healthy observations of one report that count.
-const COUNTED_OBSERVATIONS: u32 = 8;
+/// Maximum number of healthy observations that count per report.
+const MAX_COUNTED_OBSERVATIONS: u32 = 8;
 
-/// What one entry saw of one target.
+/// Evidence of one entry about one target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EvidenceReport {
     /// The target.
     pub target: TargetId,
-    /// The life of the target that was observed.
+    /// The observed incarnation of the target.
     pub incarnation: Incarnation,
-    /// The entry's own evidence against the target, in nats.
+    /// The reporting entry's own evidence against the target, in nats.
     pub suspicion: f64,
-    /// The entry's observations in the last seconds.
+    /// Number of the reporting entry's observations in the last 3 seconds.
     pub observations: u32,
-    /// Data centre of the observing entry.
+    /// Data centre of the reporting entry.
     pub data_centre: DataCentre,
 }
 
 #[derive(Clone, Debug)]
-struct Received {
-    from: VmId,
-    at: Timestamp,
+struct ReceivedReport {
+    reporter: VmId,
+    received_at: Timestamp,
     suspicion: f64,
     weight: f64,
     observations: u32,
@@ -65,14 +65,14 @@
 /// Reports of other entries about one target.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RemoteEvidence {
-    received: Vec<Received>,
-    /// Last report of this entry: its suspicion, and when it was written.
+    reports: Vec<ReceivedReport>,
+    /// Suspicion and time of this entry's last report.
     reported: Option<(f64, Timestamp)>,
-    /// Evidence of the last assessment, kept while the target is out of service.
-    pub(crate) assessed: f64,
+    /// Last result of [`RemoteEvidence::combine`], kept while the target is out of service.
+    pub(crate) shared_suspicion: f64,
 }
 
-/// This entry's own view of the target.
+/// This entry's own evidence about the target.
 pub(crate) struct OwnEvidence<'a> {
     pub(crate) suspicion: f64,
     pub(crate) observations: u32,
@@ -80,19 +80,19 @@
 }
 
 impl RemoteEvidence {
-    /// Takes over a report; a later one of the same entry replaces it.
+    /// Records a report, which replaces an earlier one of the same entry.
     pub(crate) fn merge(&mut self, now: Timestamp, from: &VmId, report: &EvidenceReport) {
         if !report.suspicion.is_finite() {
             return;
         }
         self.expire(now);
-        self.received.retain(|received| received.from != *from);
-        if self.received.len() >= WITNESS_LIMIT {
+        self.reports.retain(|report| report.reporter != *from);
+        if self.reports.len() >= MAX_REPORTERS {
             return;
         }
-        self.received.push(Received {
-            from: from.clone(),
-            at: now,
+        self.reports.push(ReceivedReport {
+            reporter: from.clone(),
+            received_at: now,
             suspicion: report.suspicion,
             weight: 1.0,
             observations: report.observations,
@@ -101,135 +101,138 @@
     }
 
     pub(crate) fn expire(&mut self, now: Timestamp) {
-        self.received
-            .retain(|received| now.since(received.at) < REPORT_LIFETIME);
+        self.reports
+            .retain(|report| now.since(report.received_at) < REPORT_LIFETIME);
     }
 
-    /// Whether this entry has to report its suspicion (zero for none); it then counts as reported.
+    /// Whether this entry has to report `suspicion` (zero for none); if so, records it as reported.
     pub(crate) fn needs_report(&mut self, now: Timestamp, suspicion: f64) -> bool {
-        let is_taken_back = self.reported.is_some_and(|(last, _)| last > 0.0);
-        if suspicion <= 0.0 && !is_taken_back && self.witness_count() == 0 {
+        let was_suspected = self.reported.is_some_and(|(last, _)| last > 0.0);
+        if suspicion <= 0.0 && !was_suspected && self.suspecting_entries() == 0 {
             self.reported = None;
             return false;
         }
-        let is_known = self.reported.is_some_and(|(last, at)| {
-            (suspicion - last).abs() < REPORT_CHANGE && now.since(at) < REPORT_INTERVAL
+        let is_unchanged = self.reported.is_some_and(|(last, at)| {
+            (suspicion - last).abs() < MIN_REPORTED_CHANGE && now.since(at) < REPORT_INTERVAL
         });
-        if !is_known {
+        if !is_unchanged {
             self.reported = Some((suspicion, now));
         }
-        !is_known
+        !is_unchanged
     }
 
     pub(crate) fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Whether this entry's last report is a suspicion.
+    /// Whether the last report of the entry `from` suspects the target.
     pub(crate) fn is_suspected_by(&self, from: &VmId) -> bool {
-        self.witnesses().any(|witness| witness.from == *from)
+        self.suspicious_reports()
+            .any(|report| report.reporter == *from)
     }
 
-    /// Sets the weight of an entry's report.
+    /// Sets the weight of the report of the entry `from`.
     pub(crate) fn set_weight(&mut self, from: &VmId, weight: f64) {
-        for received in &mut self.received {
-            if received.from == *from {
-                received.weight = weight;
+        for report in &mut self.reports {
+            if report.reporter == *from {
+                report.weight = weight;
             }
         }
     }
 
-    fn witnesses(&self) -> impl Iterator<Item = &Received> {
-        self.received
+    fn suspicious_reports(&self) -> impl Iterator<Item = &ReceivedReport> {
+        self.reports
             .iter()
-            .filter(|received| received.suspicion >= REPORT_MINIMUM)
+            .filter(|report| report.suspicion >= REPORT_THRESHOLD)
     }
 
     /// Number of other entries that suspect the target.
-    pub(crate) fn witness_count(&self) -> usize {
-        self.witnesses().count()
+    pub(crate) fn suspecting_entries(&self) -> usize {
+        self.suspicious_reports().count()
     }
 
-    /// Weighs all reports and the entry's own view; `None` without a second witness.
-    pub(crate) fn assess(&self, own: &OwnEvidence, share_limit: f64) -> Option<f64> {
+    /// Combines all reports with this entry's own evidence, in nats; `entry_cap` bounds the suspicion
+    /// that each report contributes. Returns `None` unless at least two entries, counting this one,
+    /// suspect the target.
+    pub(crate) fn combine(&self, own: &OwnEvidence, entry_cap: f64) -> Option<f64> {
         let own_centre = own.data_centre?;
-        let own_is_witness = own.suspicion >= REPORT_MINIMUM;
-        if self.witness_count() + usize::from(own_is_witness) < 2 {
+        let is_suspected_here = own.suspicion >= REPORT_THRESHOLD;
+        if self.suspecting_entries() + usize::from(is_suspected_here) < 2 {
             return None;
         }
-        let own_part = if own_is_witness {
+        let own_evidence = if is_suspected_here {
             own.suspicion
         } else {
             healthy_evidence(own.observations)
         };
-        let here = own_part + self.sum_of(own_centre, share_limit);
-        let witnesses_here = self
-            .witnesses()
-            .filter(|witness| witness.data_centre == *own_centre)
+        let local_sum = own_evidence + self.sum_for(own_centre, entry_cap);
+        let local_suspicious = self
+            .suspicious_reports()
+            .filter(|report| report.data_centre == *own_centre)
             .count();
-        let alone = if witnesses_here + usize::from(own_is_witness) < 2 {
+        let local = if local_suspicious + usize::from(is_suspected_here) < 2 {
             0.0
         } else {
-            here
+            local_sum
         };
-        let mut everywhere = here;
-        let mut counted: Vec<&DataCentre> = vec![own_centre];
-        for received in &self.received {
-            let centre = &received.data_centre;
-            if !counted.contains(&centre) {
-                counted.push(centre);
-                everywhere += self.sum_of(centre, share_limit).min(share_limit);
+        let mut global_sum = local_sum;
+        let mut counted_centres: Vec<&DataCentre> = vec![own_centre];
+        for report in &self.reports {
+            let centre = &report.data_centre;
+            if !counted_centres.contains(&centre) {
+                counted_centres.push(centre);
+                global_sum += self.sum_for(centre, entry_cap).min(entry_cap);
             }
         }
-        Some(alone.max(everywhere).clamp(0.0, SUSPICION_LIMIT))
+        Some(local.max(global_sum).clamp(0.0, MAX_SUSPICION))
     }
 
-    /// Sum of the reports from one data centre.
-    fn sum_of(&self, centre: &DataCentre, share_limit: f64) -> f64 {
-        self.received
+    /// Sum of the reports from one data centre, in nats.
+    fn sum_for(&self, centre: &DataCentre, entry_cap: f64) -> f64 {
+        self.reports
             .iter()
-            .filter(|received| received.data_centre == *centre)
-            .map(|received| {
-                if received.suspicion >= REPORT_MINIMUM {
-                    received.suspicion.min(share_limit) * received.weight
+            .filter(|report| report.data_centre == *centre)
+            .map(|report| {
+                if report.suspicion >= REPORT_THRESHOLD {
+                    report.suspicion.min(entry_cap) * report.weight
                 } else {
-                    healthy_evidence(received.observations)
+                    healthy_evidence(report.observations)
                 }
             })
             .sum()
     }
 }
 
-/// Weight of each suspicion of an entry that suspects so many targets.
+/// Weight of each report of an entry that suspects `suspects` targets.
 pub(crate) fn suspect_weight(suspects: u32) -> f64 {
     (FULL_WEIGHT_SUSPECTS / f64::from(suspects.max(1))).min(1.0)
 }
 
 fn healthy_evidence(observations: u32) -> f64 {
-    f64::from(observations.min(COUNTED_OBSERVATIONS)) * success_evidence()
+    f64::from(observations.min(MAX_COUNTED_OBSERVATIONS)) * success_evidence()
 }
 
-/// Number of observations in the last [`REPORT_LIFETIME`], to within half of it.
+/// Sliding-window counter of observations in the last [`REPORT_LIFETIME`], to within half of it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct RecentCount {
+pub(crate) struct RecentCounter {
     start: Timestamp,
     current: u32,
     previous: u32,
 }
 
-impl RecentCount {
+impl RecentCounter {
     pub(crate) fn add(&mut self, now: Timestamp) {
-        self.roll(now);
+        self.rotate(now);
         self.current += 1;
     }
 
     pub(crate) fn get(&self, now: Timestamp) -> u32 {
-        let mut rolled = self.clone();
-        rolled.roll(now);
-        rolled.current + rolled.previous
+        let mut rotated = self.clone();
+        rotated.rotate(now);
+        rotated.current + rotated.previous
     }
 
-    fn roll(&mut self, now: Timestamp) {
+    fn rotate(&mut self, now: Timestamp) {
         let half = REPORT_LIFETIME.0 / 2;
         let age = now.since(self.start).0;
         if age < half {
--- a/crates/auburnbridge_policy/src/fleet.rs
+++ b/crates/auburnbridge_policy/src/fleet.rs
@@ -1,9 +1,9 @@
-//! The targets of one service as one entry sees them.
+//! One entry's state of the targets of one service.
 //!
-//! The floor is kept by construction: [`Fleet`] ejects a target only if the slots that stay in use
-//! are at or above `min(floor, slots of all members)`, and reinstates the least suspicious ejected
-//! targets whenever a departure breaks that bound. Each entry keeps the bound for itself, so the
-//! fleet's capacity in use, the union over its entries, keeps it without any agreement.
+//! The floor holds by construction. [`Fleet`] ejects a target only if the slots that stay in use are
+//! at least the effective floor, `min(floor, slots of all members)`, and reinstates the least
+//! suspicious ejected targets when a departure violates it. Each entry maintains the effective floor
+//! independently, so the union of the targets that the entries use maintains it without coordination.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use crate::RequestClass;
 use crate::decision::{Action, Decision, Reason};
 use crate::evidence::{
-    EvidenceReport, OwnEvidence, REPORT_LIFETIME, REPORT_LIMIT, REPORT_MINIMUM, suspect_weight,
+    EvidenceReport, MAX_REPORTS, OwnEvidence, REPORT_LIFETIME, REPORT_THRESHOLD, suspect_weight,
 };
 use crate::health::{Observation, slow_limit_ms};
 use crate::policy::ServicePolicy;
@@ -26,64 +26,65 @@
     pub struct TargetKey;
 }
 
-/// Time that a target gets no further work after it shed a request, unless no other is free.
-const SHED_PAUSE: Millis = Millis(20);
-/// Time after a shed for which slots count as scarce.
+/// Time for which a target that shed a request gets no further ones, unless no other is free.
+const SHED_BACKOFF: Millis = Millis(20);
+/// Time after a shed during which slots count as scarce.
 const SCARCITY_TIME: Millis = Millis(1_000);
-/// Time for which a slot that an answer freed is taken to be free.
-const FREED_TIME: Millis = Millis(2);
-/// Time that a target without a lease stays in use without a success.
-const STALE_GRACE: Millis = Millis(2_000);
-/// Lead in nats that an ejected target needs to replace one that the floor keeps in use.
-const SWAP_MARGIN: f64 = 2.0;
-
-/// Evidence from which non-idempotent work goes to other targets, in nats: one slow answer.
-const AVOID_SUSPICION: f64 = 1.9;
-/// Time after the last fault for which a suspected target is avoided. The end lets a service that
-/// has only non-idempotent work find out whether the target is well again.
+/// Time for which a slot that an answer freed is assumed to stay free.
+const FREED_SLOT_LIFETIME: Millis = Millis(2);
+/// Time for which a target whose lease expired stays in use without a successful request.
+const LEASE_GRACE: Millis = Millis(2_000);
+/// Difference in suspicion at which an ejected target replaces one that the floor keeps in use, in
+/// nats.
+const SUBSTITUTION_MARGIN: f64 = 2.0;
+
+/// Suspicion from which non-idempotent requests avoid a target, in nats: that of one slow answer.
+const AVOID_THRESHOLD: f64 = 1.9;
+/// Time after the last failure for which a suspected target is avoided. It is limited so that a service
+/// with only non-idempotent requests detects that the target has recovered.
 const AVOID_TIME: Millis = Millis(30_000);
-/// Time for which slow answers of a started target are no evidence.
+/// Time after its start for which slow answers of a target are no evidence.
 const COLD_TIME: Millis = Millis(30_000);
-/// Results after which the typical answer time is computed again; it changes slowly.
-const TYPICAL_LATENCY_INTERVAL: u32 = 32;
-/// Interval of the reports that the floor keeps a target in use.
+/// Number of results after which the median latency, which changes slowly, is computed again.
+const MEDIAN_LATENCY_INTERVAL: u32 = 32;
+/// Minimum interval between reports that the floor keeps a target in use.
 const KEEP_REPORT_INTERVAL: Millis = Millis(1_000);
-/// Bound of the factor by which earlier ejections lengthen a trial.
-const TRIAL_FACTOR_LIMIT: u32 = 8;
+/// Upper bound of the factor by which earlier ejections lengthen a trial.
+const MAX_TRIAL_FACTOR: u32 = 8;
 
 /// The target chosen for one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
     /// Handle for [`Fleet::finish`].
     pub key: TargetKey,
-    /// The target's name.
+    /// Name of the target.
     pub target: TargetId,
-    /// Where it accepts requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Number of its life.
+    /// Incarnation number of the target.
     pub incarnation: Incarnation,
-    /// Requests in flight from this entry per slot, with this one.
+    /// Requests in flight from this entry per slot, including this one.
     pub load: f64,
     /// Evidence against the target, in nats.
     pub suspicion: f64,
-    /// Number of targets that could have been chosen.
+    /// Number of targets in use that were eligible.
     pub candidates: usize,
 }
 
-/// One target for status reports.
+/// State of one target, for status reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetView {
-    /// What the announcements say.
+    /// The target as the membership lists it.
     pub member: Member,
-    /// Whether it gets work.
+    /// Whether it gets requests.
     pub state: ServiceState,
     /// Evidence against it, in nats.
     pub suspicion: f64,
     /// Requests in flight from this entry.
     pub in_flight: u32,
-    /// Ejections that are not forgiven yet.
+    /// Count of earlier ejections, which falls while the target is healthy.
     pub ejections: u32,
-    /// Time of the last whole answer.
+    /// Time of the last complete answer.
     pub last_success: Option<Timestamp>,
 }
 
@@ -94,13 +95,13 @@
     data_centre: Option<DataCentre>,
     targets: SlotMap<TargetKey, Target>,
     by_id: HashMap<TargetId, TargetKey>,
-    /// Median of the targets' average answer times.
-    typical_latency_ms: Option<f64>,
+    /// Median of the targets' average latencies.
+    median_latency_ms: Option<f64>,
     results_until_median: u32,
     last_shed: Timestamp,
-    /// Target whose slot the last answer freed.
-    freed: Option<(TargetKey, Timestamp)>,
-    /// Buffer of [`Fleet::choose`], kept to save an allocation per request.
+    /// Target whose slot the last answer freed, and when.
+    freed_slot: Option<(TargetKey, Timestamp)>,
+    /// Buffer of [`Fleet::choose`], reused to avoid an allocation per request.
     candidates: Vec<TargetKey>,
 }
 
@@ -112,31 +113,31 @@
             data_centre: None,
             targets: SlotMap::with_key(),
             by_id: HashMap::new(),
-            typical_latency_ms: None,
+            median_latency_ms: None,
             results_until_median: 0,
             last_shed: Timestamp(0),
-            freed: None,
+            freed_slot: None,
             candidates: Vec::new(),
         }
     }
 
-    /// Names the entry's data centre, without which no evidence is shared.
+    /// Sets the entry's data centre, without which no evidence is exchanged.
     #[must_use]
     pub fn with_data_centre(mut self, data_centre: DataCentre) -> Self {
         self.data_centre = Some(data_centre);
         self
     }
 
-    /// Replaces the policy after a change of the rules.
+    /// Replaces the policy and reinstates targets if the new floor requires it.
     pub fn set_policy(&mut self, now: Timestamp, policy: ServicePolicy) -> Vec<Decision> {
         self.policy = policy;
         self.restore_floor(now)
     }
 
-    /// Takes over the present members; targets that are not listed have left.
+    /// Updates the targets to the current members; targets that are not listed are removed.
     pub fn reconcile(&mut self, now: Timestamp, members: &[Member]) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        // An entry that starts can't tell which targets are cold.
+        // An entry that has just started can't tell which targets are cold.
         let cold_until = match self.by_id.len() {
             0 => Timestamp(0),
             _ => now.after(COLD_TIME),
@@ -178,25 +179,25 @@
         };
         let target = &mut self.targets[key];
         let restarted = target.member.incarnation != member.incarnation;
-        let earlier_presence = target.member.presence;
+        let previous_presence = target.member.presence;
         target.member = member.clone();
-        if let (Presence::Stale(_), Presence::Stale(_)) = (earlier_presence, member.presence) {
-            // The lease ended when it was first seen to have ended.
-            target.member.presence = earlier_presence;
+        if let (Presence::Stale(_), Presence::Stale(_)) = (previous_presence, member.presence) {
+            // The lease expired when its expiry was first observed.
+            target.member.presence = previous_presence;
         }
         if restarted {
             target.health.clear_suspicion();
             target.remote.clear();
             target.cold_until = cold_until;
             if !target.in_use() {
-                // A restarted target proves itself in a trial, since a crash loop also restarts.
+                // Requires a trial, since a target in a crash loop also restarts.
                 target.state = ServiceState::Trial { successes: 0 };
                 decisions.push(self.decision(&self.targets[key], Action::Trial, Reason::Restarted));
             }
         }
     }
 
-    /// Chooses a target and counts the request as in flight on it.
+    /// Chooses a target and counts the request as in flight on it; `None` if no target is eligible.
     pub fn choose(
         &mut self,
         now: Timestamp,
@@ -232,7 +233,7 @@
         })
     }
 
-    /// The target whose slot has just become free, while slots are scarce: a random target is
+    /// Returns the target whose slot has just become free, while slots are scarce: a random target is
     /// probably full then, and each shed costs a round trip.
     fn freed_candidate(
         &mut self,
@@ -240,9 +241,9 @@
         class: RequestClass,
         candidates: &[TargetKey],
     ) -> Option<TargetKey> {
-        let (key, freed) = self.freed.take()?;
+        let (key, freed) = self.freed_slot.take()?;
         let is_scarce = now.since(self.last_shed) < SCARCITY_TIME;
-        if !is_scarce || now.since(freed) > FREED_TIME || !candidates.contains(&key) {
+        if !is_scarce || now.since(freed) > FREED_SLOT_LIFETIME || !candidates.contains(&key) {
             return None;
         }
         let is_risky = class == RequestClass::Once
@@ -250,9 +251,9 @@
         (!is_risky).then_some(key)
     }
 
-    /// Non-idempotent work avoids targets under suspicion as long as the others don't shed, which
-    /// needs less certainty than an ejection. Idempotent work is not steered by suspicion: its
-    /// results are the evidence that clears or condemns a target.
+    /// Chooses among the targets in use. Non-idempotent requests avoid suspected targets as long as the
+    /// others don't shed; this takes less evidence than an ejection. Idempotent requests ignore the
+    /// suspicion, since their results are the evidence that confirms or refutes it.
     fn choose_in_use(
         &self,
         now: Timestamp,
@@ -264,19 +265,19 @@
             return self.choose_of_two(now, candidates, rng);
         }
         let slow_limit_ms = self.slow_limit_ms();
-        let mut trusted = 0;
+        let mut preferred = 0;
         for at in 0..candidates.len() {
             if !is_avoided(now, &self.targets[candidates[at]], slow_limit_ms) {
-                candidates.swap(trusted, at);
-                trusted += 1;
+                candidates.swap(preferred, at);
+                preferred += 1;
             }
         }
-        self.choose_of_two(now, &candidates[..trusted], rng)
+        self.choose_of_two(now, &candidates[..preferred], rng)
             .filter(|key| self.targets[*key].shed_until <= now)
             .or_else(|| self.choose_of_two(now, candidates, rng))
     }
 
-    /// An idle target in its trial; only idempotent requests are risked on it.
+    /// Returns an idle target in its trial, which gets only idempotent requests.
     fn trial_candidate(&self, class: RequestClass, exclude: &[TargetKey]) -> Option<TargetKey> {
         if class != RequestClass::Idempotent {
             return None;
@@ -291,7 +292,7 @@
             .map(|(key, _)| key)
     }
 
-    /// The better of two random candidates, which spreads load without a shared counter.
+    /// Power of two random choices, which spreads load without a shared counter.
     fn choose_of_two(
         &self,
         now: Timestamp,
@@ -314,80 +315,84 @@
         })
     }
 
-    /// Order of preference: free of a recent shed, then low load.
+    /// Cost of a choice: a target that shed recently costs more than any other, then load decides.
     fn cost(&self, now: Timestamp, key: TargetKey) -> (bool, f64) {
         let target = &self.targets[key];
         (target.shed_until > now, target.load())
     }
 
-    /// Ends a request on a target and takes its result as evidence.
+    /// Records the end of a request on a target and its result as evidence.
     pub fn finish(
         &mut self,
         now: Timestamp,
         key: TargetKey,
         observation: Observation,
     ) -> Vec<Decision> {
-        let typical_latency = self.typical_latency();
+        let median_latency = self.median_latency();
         let Some(target) = self.targets.get_mut(key) else {
             return Vec::new();
         };
         target.end_request(now, observation);
         if observation == Observation::Shed {
-            target.shed_until = now.after(SHED_PAUSE);
+            target.shed_until = now.after(SHED_BACKOFF);
             self.last_shed = now;
         } else if matches!(observation, Observation::Answered(_)) {
-            self.freed = Some((key, now));
+            self.freed_slot = Some((key, now));
         }
-        let peer_latency = typical_latency.filter(|_| now >= target.cold_until);
+        let peer_latency = median_latency.filter(|_| now >= target.cold_until);
         let before = target.health.observations();
         target.health.observe(now, observation, peer_latency);
         if target.health.observations() == before {
             return Vec::new();
         }
-        target.recent.add(now);
+        target.recent_observations.add(now);
         let succeeded = matches!(observation, Observation::Answered(_));
         match target.state {
-            ServiceState::InUse => self.judge(now, key),
-            ServiceState::Trial { successes } => self.judge_trial(now, key, successes, succeeded),
+            ServiceState::InUse => self.eject_if_suspected(now, key),
+            ServiceState::Trial { successes } => {
+                self.finish_trial_request(now, key, successes, succeeded)
+            }
             ServiceState::Ejected { .. } => Vec::new(),
         }
     }
 
-    /// Median of the targets' average answer times, computed at intervals.
-    fn typical_latency(&mut self) -> Option<f64> {
+    /// Returns the median of the targets' average latencies, computed at intervals.
+    fn median_latency(&mut self) -> Option<f64> {
         if self.results_until_median > 0 {
             self.results_until_median -= 1;
-            return self.typical_latency_ms;
+            return self.median_latency_ms;
         }
-        self.results_until_median = TYPICAL_LATENCY_INTERVAL;
+        self.results_until_median = MEDIAN_LATENCY_INTERVAL;
         let mut averages: Vec<f64> = self
             .targets
             .values()
             .filter_map(|target| target.health.latency_ms())
             .collect();
         averages.sort_by(f64::total_cmp);
-        // Of two, the lower one: a slow target must not set the standard by which it is judged.
+        // Of an even number, takes the lower middle, so that of two targets the slow one doesn't set
+        // its own slow limit.
         let middle = averages.len().saturating_sub(1) / 2;
-        self.typical_latency_ms = averages.get(middle).copied();
-        self.typical_latency_ms
+        self.median_latency_ms = averages.get(middle).copied();
+        self.median_latency_ms
     }
 
     fn slow_limit_ms(&self) -> f64 {
-        slow_limit_ms(self.typical_latency_ms)
+        slow_limit_ms(self.median_latency_ms)
     }
 
-    fn judge(&mut self, now: Timestamp, key: TargetKey) -> Vec<Decision> {
+    fn eject_if_suspected(&mut self, now: Timestamp, key: TargetKey) -> Vec<Decision> {
         let target = &self.targets[key];
         if target.suspicion(now, self.slow_limit_ms()) >= self.policy.sensitivity.threshold() {
             return self.try_eject(now, key, Reason::Suspicion);
         }
-        if target.remote.assessed >= self.policy.sensitivity.shared_threshold() {
+        if target.remote.shared_suspicion >= self.policy.sensitivity.shared_threshold() {
             return self.try_eject(now, key, Reason::SharedSuspicion);
         }
         Vec::new()
     }
 
-    /// What this entry saw of the targets that it or others suspect, for the other entries.
+    /// Returns the reports that are due for the other entries, about targets that this or another entry
+    /// suspects, and records them as sent.
     pub fn evidence(&mut self, now: Timestamp) -> Vec<EvidenceReport> {
         let Some(data_centre) = self.data_centre.clone() else {
             return Vec::new();
@@ -400,7 +405,7 @@
             let last_fault = target.health.last_fault();
             let is_recent = last_fault.is_some_and(|fault| now.since(fault) < REPORT_LIFETIME)
                 || suspicion > target.health.suspicion();
-            let is_suspected = suspicion >= REPORT_MINIMUM && is_recent;
+            let is_suspected = suspicion >= REPORT_THRESHOLD && is_recent;
             let reported = if is_suspected { suspicion } else { 0.0 };
             if !target.remote.needs_report(now, reported) {
                 continue;
@@ -409,16 +414,16 @@
                 target: target.member.id.clone(),
                 incarnation: target.member.incarnation,
                 suspicion: reported,
-                observations: target.recent.get(now),
+                observations: target.recent_observations.get(now),
                 data_centre: data_centre.clone(),
             });
         }
         reports.sort_by(|a, b| b.suspicion.total_cmp(&a.suspicion));
-        reports.truncate(REPORT_LIMIT);
+        reports.truncate(MAX_REPORTS);
         reports
     }
 
-    /// Takes over another entry's reports and decides on the targets that they concern.
+    /// Merges the reports of the entry `from` and ejects targets whose shared suspicion suffices.
     pub fn merge_evidence(
         &mut self,
         now: Timestamp,
@@ -426,7 +431,7 @@
         reports: &[EvidenceReport],
     ) -> Vec<Decision> {
         let mut changed = Vec::new();
-        for report in reports.iter().take(REPORT_LIMIT) {
+        for report in reports.iter().take(MAX_REPORTS) {
             let Some(&key) = self.by_id.get(&report.target) else {
                 continue;
             };
@@ -436,20 +441,20 @@
                 changed.push(key);
             }
         }
-        self.weigh_reports(now, from);
+        self.update_report_weights(now, from);
         let mut decisions = Vec::new();
         for key in changed {
-            self.assess(now, key);
+            self.update_shared_suspicion(now, key);
             if self.targets[key].in_use() {
-                decisions.extend(self.judge(now, key));
+                decisions.extend(self.eject_if_suspected(now, key));
             }
         }
         decisions
     }
 
-    /// Weighs an entry's suspicions by their number over all its messages that still count, since an
-    /// unchanged report is not in every message.
-    fn weigh_reports(&mut self, now: Timestamp, from: &VmId) {
+    /// Sets the weight of an entry's reports by the number of targets that it suspects. The number is
+    /// taken over all its unexpired messages, since an unchanged report is not repeated in each.
+    fn update_report_weights(&mut self, now: Timestamp, from: &VmId) {
         let mut suspects = 0;
         for target in self.targets.values_mut() {
             target.remote.expire(now);
@@ -461,7 +466,7 @@
         }
     }
 
-    fn assess(&mut self, now: Timestamp, key: TargetKey) {
+    fn update_shared_suspicion(&mut self, now: Timestamp, key: TargetKey) {
         let slow_limit_ms = self.slow_limit_ms();
         let target = &mut self.targets[key];
         if !target.in_use() {
@@ -470,15 +475,15 @@
         target.remote.expire(now);
         let own = OwnEvidence {
             suspicion: target.suspicion(now, slow_limit_ms),
-            observations: target.recent.get(now),
+            observations: target.recent_observations.get(now),
             data_centre: self.data_centre.as_ref(),
         };
-        // Half of the threshold: it takes two other entries at least.
-        let share_limit = self.policy.sensitivity.shared_threshold() / 2.0;
-        target.remote.assessed = target.remote.assess(&own, share_limit).unwrap_or(0.0);
+        // At half of the threshold, an ejection takes at least two other entries.
+        let entry_cap = self.policy.sensitivity.shared_threshold() / 2.0;
+        target.remote.shared_suspicion = target.remote.combine(&own, entry_cap).unwrap_or(0.0);
     }
 
-    fn judge_trial(
+    fn finish_trial_request(
         &mut self,
         now: Timestamp,
         key: TargetKey,
@@ -491,7 +496,7 @@
         }
         let successes = successes + 1;
         let target = &mut self.targets[key];
-        let factor = target.ejections.clamp(1, TRIAL_FACTOR_LIMIT);
+        let factor = target.ejections.clamp(1, MAX_TRIAL_FACTOR);
         if successes < self.policy.trial_successes.saturating_mul(factor) {
             target.state = ServiceState::Trial { successes };
             return Vec::new();
@@ -500,11 +505,12 @@
         target.remote.clear();
         target.state = ServiceState::InUse;
         target.healthy_since = now;
-        target.probation_until = now.after(target.last_ejection);
+        target.probation_until = now.after(target.last_ejection_duration);
         vec![self.decision(&self.targets[key], Action::Reinstate, Reason::TrialPassed)]
     }
 
-    /// Makes the decisions that depend on time: ends of ejections, lost leases and forgiveness.
+    /// Makes the time-dependent decisions: ends of ejections, expired leases, decay of the ejection
+    /// counts and requests in flight for too long.
     pub fn decide(&mut self, now: Timestamp) -> Vec<Decision> {
         let mut decisions = Vec::new();
         let keys: Vec<TargetKey> = self.targets.keys().collect();
@@ -516,7 +522,7 @@
     }
 
     fn decide_target(&mut self, now: Timestamp, key: TargetKey) -> Vec<Decision> {
-        let forgive_after = self.policy.forgive_after;
+        let ejection_decay_time = self.policy.ejection_decay_time;
         let target = &mut self.targets[key];
         match target.state {
             ServiceState::Ejected { until } if now >= until => {
@@ -524,12 +530,12 @@
                 vec![self.decision(&self.targets[key], Action::Trial, Reason::EjectionOver)]
             }
             ServiceState::InUse => {
-                if target.ejections > 0 && now.since(target.healthy_since) >= forgive_after {
+                if target.ejections > 0 && now.since(target.healthy_since) >= ejection_decay_time {
                     target.ejections -= 1;
                     target.healthy_since = now;
                 }
-                self.assess(now, key);
-                let decisions = self.judge(now, key);
+                self.update_shared_suspicion(now, key);
+                let decisions = self.eject_if_suspected(now, key);
                 if !decisions.is_empty() {
                     return decisions;
                 }
@@ -545,15 +551,15 @@
         }
     }
 
-    /// Ejects a target unless the floor forbids it; then a less suspicious one may take its place.
+    /// Ejects a target if the floor allows it or a less suspicious ejected target can replace it.
     fn try_eject(&mut self, now: Timestamp, key: TargetKey, reason: Reason) -> Vec<Decision> {
         let slots = self.targets[key].member.slots;
-        if self.in_use().0.saturating_sub(slots.0) >= self.bound().0 {
+        if self.in_use().0.saturating_sub(slots.0) >= self.effective_floor().0 {
             self.set_ejected(now, key);
             return vec![self.decision(&self.targets[key], Action::Eject, reason)];
         }
-        let Some(substitute) = self.substitute_for(key) else {
-            return self.keep(now, key);
+        let Some(substitute) = self.find_substitute(key) else {
+            return self.report_kept(now, key);
         };
         self.targets[substitute].state = ServiceState::InUse;
         let reinstated = self.decision(&self.targets[substitute], Action::Reinstate, Reason::Floor);
@@ -564,26 +570,29 @@
         ]
     }
 
-    /// Reports that the floor prevents an ejection, at most once per [`KEEP_REPORT_INTERVAL`].
-    fn keep(&mut self, now: Timestamp, key: TargetKey) -> Vec<Decision> {
+    /// Returns a report that the floor prevents an ejection, at most once per [`KEEP_REPORT_INTERVAL`].
+    fn report_kept(&mut self, now: Timestamp, key: TargetKey) -> Vec<Decision> {
         let target = &mut self.targets[key];
-        if now < target.keep_reported_until {
+        if now < target.next_keep_report {
             return Vec::new();
         }
-        target.keep_reported_until = now.after(KEEP_REPORT_INTERVAL);
+        target.next_keep_report = now.after(KEEP_REPORT_INTERVAL);
         vec![self.decision(&self.targets[key], Action::Keep, Reason::Floor)]
     }
 
-    /// An ejected target that is clearly less suspicious and has enough slots to hold the floor.
-    fn substitute_for(&self, key: TargetKey) -> Option<TargetKey> {
-        let sick = &self.targets[key];
-        let without = self.in_use().0.saturating_sub(sick.member.slots.0);
+    /// Returns the least suspicious target out of service that is clearly less suspicious than `key` and
+    /// has enough slots to hold the floor in its place.
+    fn find_substitute(&self, key: TargetKey) -> Option<TargetKey> {
+        let suspect = &self.targets[key];
+        let remaining = self.in_use().0.saturating_sub(suspect.member.slots.0);
         self.targets
             .iter()
             .filter(|(_, target)| !target.in_use())
-            .filter(|(_, target)| without + target.member.slots.0 >= self.bound().0)
-            .filter(|(_, target)| rank(target) + SWAP_MARGIN <= rank(sick))
-            .min_by(|a, b| rank(a.1).total_cmp(&rank(b.1)))
+            .filter(|(_, target)| remaining + target.member.slots.0 >= self.effective_floor().0)
+            .filter(|(_, target)| {
+                overall_suspicion(target) + SUBSTITUTION_MARGIN <= overall_suspicion(suspect)
+            })
+            .min_by(|a, b| overall_suspicion(a.1).total_cmp(&overall_suspicion(b.1)))
             .map(|(key, _)| key)
     }
 
@@ -591,30 +600,30 @@
         let doublings = self.targets[key].ejections.min(16);
         let time = Millis(
             self.policy
-                .ejection_time
+                .base_ejection_time
                 .0
                 .saturating_mul(1 << doublings)
-                .min(self.policy.ejection_limit.0),
+                .min(self.policy.max_ejection_time.0),
         );
         let target = &mut self.targets[key];
         target.ejections += 1;
-        target.last_ejection = time;
+        target.last_ejection_duration = time;
         target.state = ServiceState::Ejected {
             until: now.after(time),
         };
     }
 
-    /// Reinstates the least suspicious targets until the floor holds again.
+    /// Reinstates the least suspicious targets until the effective floor holds.
     fn restore_floor(&mut self, now: Timestamp) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        while self.in_use() < self.bound() {
+        while self.in_use() < self.effective_floor() {
             let key = self
                 .targets
                 .iter()
                 .filter(|(_, target)| !target.in_use())
-                .min_by(|a, b| rank(a.1).total_cmp(&rank(b.1)))
+                .min_by(|a, b| overall_suspicion(a.1).total_cmp(&overall_suspicion(b.1)))
                 .map(|(key, _)| key)
-                .expect("slots below the bound belong to targets that are not in use");
+                .expect("below the effective floor some targets are not in use");
             let target = &mut self.targets[key];
             target.state = ServiceState::InUse;
             target.healthy_since = now;
@@ -623,7 +632,7 @@
         decisions
     }
 
-    /// Slots of the targets in use.
+    /// Total slots of the targets in use.
     pub fn in_use(&self) -> Slots {
         Slots(
             self.targets
@@ -634,8 +643,8 @@
         )
     }
 
-    /// Slots that must stay in use: the floor, or all slots if there are fewer.
-    pub fn bound(&self) -> Slots {
+    /// Slots that must stay in use: the floor, or all slots if they are fewer.
+    pub fn effective_floor(&self) -> Slots {
         let all = self
             .targets
             .values()
@@ -644,7 +653,7 @@
         Slots(self.policy.floor.0.min(all))
     }
 
-    /// All targets, for status reports.
+    /// State of all targets, for status reports.
     pub fn view(&self) -> Vec<TargetView> {
         self.targets
             .values()
@@ -672,26 +681,29 @@
     }
 }
 
-/// Whether non-idempotent work goes to other targets.
+/// Whether non-idempotent requests avoid the target.
 fn is_avoided(now: Timestamp, target: &Target, slow_limit_ms: f64) -> bool {
     if now < target.probation_until {
         return true;
     }
     let own = target.suspicion(now, slow_limit_ms);
-    if own < AVOID_SUSPICION {
-        return target.remote.witness_count() >= 2;
+    if own < AVOID_THRESHOLD {
+        return target.remote.suspecting_entries() >= 2;
     }
-    let is_recent = target.health.suspicion() < AVOID_SUSPICION
+    let is_recent = target.health.suspicion() < AVOID_THRESHOLD
         || (target.health.last_fault()).is_some_and(|fault| now.since(fault) < AVOID_TIME);
-    is_recent || target.remote.witness_count() >= 1
+    is_recent || target.remote.suspecting_entries() >= 1
 }
 
-/// Evidence by which targets are compared, of this entry or of several together.
-fn rank(target: &Target) -> f64 {
-    target.health.suspicion().max(target.remote.assessed)
+/// The greater of this entry's suspicion and the shared suspicion, to compare targets.
+fn overall_suspicion(target: &Target) -> f64 {
+    target
+        .health
+        .suspicion()
+        .max(target.remote.shared_suspicion)
 }
 
 fn lease_is_lost(now: Timestamp, since: Timestamp, target: &Target) -> bool {
     let last_success = target.health.last_success().unwrap_or(since).max(since);
-    now.since(last_success) >= STALE_GRACE
+    now.since(last_success) >= LEASE_GRACE
 }
--- a/crates/auburnbridge_policy/src/health.rs
+++ b/crates/auburnbridge_policy/src/health.rs
@@ -1,49 +1,48 @@
-//! Evidence about one target from real work.
+//! Passive health check: evidence about one target from the requests it gets.
 //!
-//! The evidence is a cumulative sum of log-likelihood ratios (CUSUM) between "this target fails half
-//! of its work" and "this target fails as rarely as a healthy one", bounded below by zero. Among
-//! rules with the same rate of false alarms CUSUM detects a change soonest. Its one threshold is
-//! the setting that trades false ejections for detection time.
+//! The evidence is a cumulative sum (CUSUM) of log-likelihood ratios between the hypotheses "the
+//! target fails half of its requests" and "the target fails as rarely as a healthy one", bounded
+//! below by zero. Among tests with the same false alarm rate, CUSUM detects a change soonest. Its
+//! only threshold is the setting that trades false ejections against detection time.
 
 use auburnbridge_types::{Millis, Timestamp};
 
-/// Result of one exchange, as far as it says something about the target.
+/// Result of one exchange, as far as it is evidence about the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// A whole answer after this time.
+    /// The complete answer came after this time.
     Answered(Millis),
-    /// The target's own server error (5xx), which healthy targets also give now and then.
+    /// The target answered with a server error (5xx), as healthy targets occasionally do.
     ServerError,
-    /// The connection was refused or could not be made.
+    /// The connection was refused or couldn't be established.
     ConnectFailed,
-    /// The answer was cut short or malformed.
+    /// The answer was truncated or malformed.
     AnswerBroken,
-    /// No answer before the deadline.
+    /// No answer came before the deadline.
     TimedOut,
-    /// The target shed the request, which is not a fault.
+    /// The target shed the request, which is not a failure.
     Shed,
-    /// The exchange says nothing about the target: the caller cancelled it, or the request itself
-    /// crashes targets.
+    /// The exchange is no evidence: the caller cancelled it, or the request itself crashes targets.
     NotAttributable,
 }
 
-/// Share of failures of a healthy target.
+/// Failure rate of a healthy target.
 const HEALTHY_FAILURE_RATE: f64 = 0.01;
-/// Share of failures of a sick target.
-const SICK_FAILURE_RATE: f64 = 0.5;
-/// Evidence beyond this bound is not added up, so that recovery needs a bounded number of successes.
-pub(crate) const SUSPICION_LIMIT: f64 = 24.0;
-/// Answers that take longer than this multiple of the peers' typical time count as slow.
+/// Failure rate of an unhealthy target.
+const UNHEALTHY_FAILURE_RATE: f64 = 0.5;
+/// Upper bound of the evidence in nats, so that recovery needs a bounded number of successes.
+pub(crate) const MAX_SUSPICION: f64 = 24.0;
+/// Answers that take longer than this multiple of the peers' median latency are slow.
 const SLOW_FACTOR: f64 = 5.0;
-/// Shorter answers are never slow, whatever the peers do.
-const SLOW_MINIMUM_MS: f64 = 50.0;
-/// A server error counts less than a broken answer, since a bad request can cause it on any target.
+/// Lower bound of the slow limit; answers up to this time are never slow.
+const MIN_SLOW_LIMIT_MS: f64 = 50.0;
+/// A server error counts less than a malformed answer, since a bad request causes it on any target.
 const SERVER_ERROR_WEIGHT: f64 = 0.5;
-/// A slow answer counts less than none.
+/// A slow answer counts less than a missing one.
 const SLOW_WEIGHT: f64 = 0.5;
-/// A request in flight for this multiple of the slow limit counts as much as one that failed.
-const SILENT_FACTOR: f64 = 4.0;
-/// Weight of the newest sample in the average answer time.
+/// A request in flight for longer than this multiple of the slow limit counts as a failure.
+const OVERDUE_FACTOR: f64 = 4.0;
+/// Weight of the newest sample in the average latency.
 const LATENCY_WEIGHT: f64 = 0.1;
 
 /// Evidence about one target.
@@ -56,41 +55,42 @@
     observations: u64,
 }
 
-/// Evidence of one observation of a healthy target, in nats; it is negative.
+/// Evidence of one success, in nats; it is negative.
 pub(crate) fn success_evidence() -> f64 {
-    ((1.0 - SICK_FAILURE_RATE) / (1.0 - HEALTHY_FAILURE_RATE)).ln()
+    ((1.0 - UNHEALTHY_FAILURE_RATE) / (1.0 - HEALTHY_FAILURE_RATE)).ln()
 }
 
 fn failure_evidence() -> f64 {
-    (SICK_FAILURE_RATE / HEALTHY_FAILURE_RATE).ln()
+    (UNHEALTHY_FAILURE_RATE / HEALTHY_FAILURE_RATE).ln()
 }
 
-/// Answer time from which an answer is slow; infinite while the peers' time is unknown.
+/// Time beyond which an answer is slow; infinite while the peers' latency is unknown.
 pub(crate) fn slow_limit_ms(peer_latency_ms: Option<f64>) -> f64 {
     peer_latency_ms.map_or(f64::INFINITY, |peers| {
-        (peers * SLOW_FACTOR).max(SLOW_MINIMUM_MS)
+        (peers * SLOW_FACTOR).max(MIN_SLOW_LIMIT_MS)
     })
 }
 
-/// Evidence of a request that is still in flight after `age`. It is provisional: the result replaces
-/// it. Without it a silent target would show its first failure only when a deadline ends.
+/// Provisional evidence of a request that is still in flight after `age`, in nats; the result of the
+/// request replaces it. Without it, the first failure of a silent target would count only when a
+/// deadline passes.
 pub(crate) fn in_flight_evidence(age: Millis, slow_limit_ms: f64) -> f64 {
-    let age_ms = milliseconds(age);
+    let age_ms = millis_f64(age);
     if age_ms <= slow_limit_ms {
         return 0.0;
     }
-    if age_ms <= slow_limit_ms * SILENT_FACTOR {
+    if age_ms <= slow_limit_ms * OVERDUE_FACTOR {
         return failure_evidence() * SLOW_WEIGHT;
     }
     failure_evidence()
 }
 
-fn milliseconds(time: Millis) -> f64 {
+fn millis_f64(time: Millis) -> f64 {
     f64::from(u32::try_from(time.0).unwrap_or(u32::MAX))
 }
 
 impl Health {
-    /// Adds one observation; `peer_latency_ms` is the typical answer time of the other targets.
+    /// Adds one observation; `peer_latency_ms` is the median latency of the service's targets.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -117,11 +117,11 @@
             self.last_fault = Some(now);
         }
         self.observations += 1;
-        self.suspicion = (self.suspicion + evidence).clamp(0.0, SUSPICION_LIMIT);
+        self.suspicion = (self.suspicion + evidence).clamp(0.0, MAX_SUSPICION);
     }
 
     fn record_latency(&mut self, time: Millis, peer_latency_ms: Option<f64>) -> bool {
-        let time_ms = milliseconds(time);
+        let time_ms = millis_f64(time);
         let average = self.latency_ms.unwrap_or(time_ms);
         self.latency_ms = Some(average + (time_ms - average) * LATENCY_WEIGHT);
         time_ms > slow_limit_ms(peer_latency_ms)
@@ -132,27 +132,27 @@
         self.suspicion
     }
 
-    /// Average answer time in milliseconds.
+    /// Average latency in milliseconds.
     pub fn latency_ms(&self) -> Option<f64> {
         self.latency_ms
     }
 
-    /// Time of the last whole answer.
+    /// Time of the last complete answer.
     pub fn last_success(&self) -> Option<Timestamp> {
         self.last_success
     }
 
-    /// Time of the last observation that spoke against the target.
+    /// Time of the last observation that raised the suspicion.
     pub fn last_fault(&self) -> Option<Timestamp> {
         self.last_fault
     }
 
-    /// Number of observations that said something about the target.
+    /// Number of observations that were evidence.
     pub fn observations(&self) -> u64 {
         self.observations
     }
 
-    /// Forgets the evidence, after a trial that passed or a restart of the target.
+    /// Resets the evidence after a passed trial or a restart of the target.
     pub fn clear_suspicion(&mut self) {
         self.suspicion = 0.0;
     }
--- a/crates/auburnbridge_policy/src/lib.rs
+++ b/crates/auburnbridge_policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! Pure decisions about target health, ejection, selection, admission and retries.
+//! Health checking, outlier ejection, load balancing, admission control and retry budgets.
 //!
-//! A [`Fleet`] holds what one entry knows about the targets of one service. It reads no clock and
-//! does no I/O: time and randomness are passed in, so that decisions can be enumerated and replayed.
-//! Each change of a target's state is returned as a [`Decision`] with the figures that led to it,
-//! for the log.
+//! A [`Fleet`] holds one entry's state about the targets of one service. It reads no clock and does
+//! no I/O: time and randomness are parameters, so that tests can enumerate and replay decisions.
+//! Each state change of a target is returned as a [`Decision`] with the values that caused it, for
+//! the log.
 
 mod admission;
 pub mod balance;
@@ -28,12 +28,12 @@
 pub use retry::RetryBudget;
 pub use target::{Member, Presence, ServiceState};
 
-/// Whether a request may be run more than once.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RequestClass {
-    /// May be delayed and retried.
+    /// The request may be delayed and retried.
     Idempotent,
-    /// Runs at most once and goes first.
+    /// The request runs at most once and has priority.
     Once,
 }
--- a/crates/auburnbridge_policy/src/policy.rs
+++ b/crates/auburnbridge_policy/src/policy.rs
@@ -1,45 +1,45 @@
-//! Settings of a service's decisions, as its rule line gives them.
+//! Ejection settings of a service, from its line in the rules file.
 
 use std::fmt;
 use std::str::FromStr;
 
 use auburnbridge_types::{Millis, ParseError, Slots};
 
-/// Position on the curve between few false ejections (0) and quick detection (100).
+/// Trade-off between few false ejections (0) and fast detection (100).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Sensitivity(u8);
 
 impl Sensitivity {
-    /// Few false ejections.
+    /// Fewest false ejections.
     pub const CAREFUL: Self = Self(0);
-    /// Quick detection.
+    /// Fastest detection.
     pub const FAST: Self = Self(100);
-    /// Evidence of one entry needed at the careful end, in nats: four failures in a row.
+    /// Threshold for one entry's evidence at `careful`, in nats: four consecutive failures.
     const CAREFUL_THRESHOLD: f64 = 15.0;
-    /// Evidence of one entry needed at the fast end, in nats: three failures in a row. With less,
-    /// two failures in a row by chance ejected targets thousands of times a day.
+    /// Threshold for one entry's evidence at `fast`, in nats: three consecutive failures. With a lower
+    /// threshold, two consecutive random failures ejected healthy targets thousands of times a day.
     const FAST_THRESHOLD: f64 = 11.0;
-    /// Evidence of several entries needed at the careful end, in nats.
+    /// Threshold for the combined evidence of several entries at `careful`, in nats.
     const CAREFUL_SHARED_THRESHOLD: f64 = 18.0;
-    /// Evidence of several entries needed at the fast end, in nats.
+    /// Threshold for the combined evidence of several entries at `fast`, in nats.
     const FAST_SHARED_THRESHOLD: f64 = 9.0;
 
-    /// The position `value`, at most 100.
+    /// Creates a sensitivity of `value`, capped at 100.
     pub fn new(value: u8) -> Self {
         Self(value.min(Self::FAST.0))
     }
 
-    /// Evidence of this entry alone at which a target is ejected, in nats.
+    /// Evidence of one entry at which it ejects a target, in nats.
     pub fn threshold(self) -> f64 {
-        self.between(Self::CAREFUL_THRESHOLD, Self::FAST_THRESHOLD)
+        self.interpolate(Self::CAREFUL_THRESHOLD, Self::FAST_THRESHOLD)
     }
 
-    /// Evidence of several entries together at which a target is ejected, in nats.
+    /// Combined evidence of several entries at which a target is ejected, in nats.
     pub fn shared_threshold(self) -> f64 {
-        self.between(Self::CAREFUL_SHARED_THRESHOLD, Self::FAST_SHARED_THRESHOLD)
+        self.interpolate(Self::CAREFUL_SHARED_THRESHOLD, Self::FAST_SHARED_THRESHOLD)
     }
 
-    fn between(self, careful: f64, fast: f64) -> f64 {
+    fn interpolate(self, careful: f64, fast: f64) -> f64 {
         careful + (fast - careful) * f64::from(self.0) / 100.0
     }
 }
@@ -69,33 +69,33 @@
     }
 }
 
-/// How decisions are made for one service.
+/// Ejection settings of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServicePolicy {
-    /// Slots that ejections never go below.
+    /// Slots that ejections leave in use.
     pub floor: Slots,
-    /// Position on the curve of the ejection policy.
+    /// Trade-off between false ejections and detection time.
     pub sensitivity: Sensitivity,
-    /// Length of a first ejection; each further one doubles it.
-    pub ejection_time: Millis,
-    /// Upper bound of an ejection's length.
-    pub ejection_limit: Millis,
-    /// Successes in a trial that end it.
+    /// Duration of the first ejection; each further one doubles it.
+    pub base_ejection_time: Millis,
+    /// Upper bound of the duration of an ejection.
+    pub max_ejection_time: Millis,
+    /// Successful requests that end a trial.
     pub trial_successes: u32,
-    /// Healthy time after which one earlier ejection is forgiven.
-    pub forgive_after: Millis,
+    /// Healthy time after which the count of earlier ejections falls by one.
+    pub ejection_decay_time: Millis,
 }
 
 impl ServicePolicy {
-    /// Starts a policy with the defaults.
+    /// Returns a builder with the default settings.
     pub fn builder() -> ServicePolicyBuilder {
         ServicePolicyBuilder(Self {
             floor: Slots(0),
             sensitivity: Sensitivity::CAREFUL,
-            ejection_time: Millis(5_000),
-            ejection_limit: Millis(120_000),
+            base_ejection_time: Millis(5_000),
+            max_ejection_time: Millis(120_000),
             trial_successes: 5,
-            forgive_after: Millis(60_000),
+            ejection_decay_time: Millis(60_000),
         })
     }
 }
@@ -112,42 +112,42 @@
         self
     }
 
-    /// Sets the position on the ejection curve.
+    /// Sets the trade-off between false ejections and detection time.
     #[must_use]
     pub fn sensitivity(mut self, sensitivity: Sensitivity) -> Self {
         self.0.sensitivity = sensitivity;
         self
     }
 
-    /// Sets the length of a first ejection.
+    /// Sets the duration of the first ejection.
     #[must_use]
-    pub fn ejection_time(mut self, time: Millis) -> Self {
-        self.0.ejection_time = time;
+    pub fn base_ejection_time(mut self, time: Millis) -> Self {
+        self.0.base_ejection_time = time;
         self
     }
 
-    /// Sets the upper bound of an ejection's length.
+    /// Sets the upper bound of the duration of an ejection.
     #[must_use]
-    pub fn ejection_limit(mut self, limit: Millis) -> Self {
-        self.0.ejection_limit = limit;
+    pub fn max_ejection_time(mut self, limit: Millis) -> Self {
+        self.0.max_ejection_time = limit;
         self
     }
 
-    /// Sets the successes that end a trial.
+    /// Sets the number of successful requests that end a trial.
     #[must_use]
     pub fn trial_successes(mut self, successes: u32) -> Self {
         self.0.trial_successes = successes;
         self
     }
 
-    /// Sets the healthy time after which one earlier ejection is forgiven.
+    /// Sets the healthy time after which the count of earlier ejections falls by one.
     #[must_use]
-    pub fn forgive_after(mut self, time: Millis) -> Self {
-        self.0.forgive_after = time;
+    pub fn ejection_decay_time(mut self, time: Millis) -> Self {
+        self.0.ejection_decay_time = time;
         self
     }
 
-    /// The finished policy.
+    /// Returns the policy.
     pub fn build(self) -> ServicePolicy {
         self.0
     }
--- a/crates/auburnbridge_policy/src/target.rs
+++ b/crates/auburnbridge_policy/src/target.rs
@@ -1,53 +1,53 @@
-//! What one entry knows about one target.
+//! State of one target on one entry.
 
 use std::net::SocketAddr;
 
 use auburnbridge_types::{DataCentre, Incarnation, Millis, Slots, TargetId, Timestamp};
 use strum::Display;
 
-use crate::evidence::{RecentCount, RemoteEvidence};
-use crate::health::{SUSPICION_LIMIT, in_flight_evidence};
+use crate::evidence::{RecentCounter, RemoteEvidence};
+use crate::health::{MAX_SUSPICION, in_flight_evidence};
 use crate::{Health, Observation};
 
-/// What the announcements say about a target.
+/// State of a target's lease, from its announcements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Presence {
-    /// Its lease holds.
+    /// The lease is valid.
     Ready,
-    /// Its lease ran out at this time.
+    /// The lease expired at this time.
     Stale(Timestamp),
 }
 
-/// A target as the membership describes it; a leaving target is not listed.
+/// A target as the membership lists it, which omits leaving targets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The target's name.
+    /// Name of the target.
     pub id: TargetId,
-    /// Where it accepts requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the target.
     pub data_centre: DataCentre,
-    /// Number of its life.
+    /// Incarnation number, which changes with each restart.
     pub incarnation: Incarnation,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs concurrently.
     pub slots: Slots,
-    /// Whether its lease holds.
+    /// State of its lease.
     pub presence: Presence,
 }
 
-/// Whether a target gets work from this entry.
+/// Whether a target gets requests from this entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum ServiceState {
-    /// Gets its share of the work.
+    /// The target gets its share of the requests.
     InUse,
-    /// Gets none until the given time.
+    /// The target gets no requests until the given time.
     Ejected {
         /// End of the ejection.
         until: Timestamp,
     },
-    /// Gets one idempotent request at a time.
+    /// The target gets one idempotent request at a time.
     Trial {
         /// Successes so far.
         successes: u32,
@@ -61,18 +61,18 @@
     pub(crate) health: Health,
     /// Start of each request in flight, oldest first.
     pub(crate) starts: Vec<Timestamp>,
-    pub(crate) recent: RecentCount,
+    pub(crate) recent_observations: RecentCounter,
     pub(crate) remote: RemoteEvidence,
     pub(crate) ejections: u32,
     pub(crate) healthy_since: Timestamp,
     pub(crate) shed_until: Timestamp,
-    /// Until then slow answers are no evidence, since a started target is cold.
+    /// Until this time slow answers are no evidence, since a freshly started target is cold.
     pub(crate) cold_until: Timestamp,
-    /// Until then non-idempotent work goes elsewhere, since the target was ejected before.
+    /// Until this time non-idempotent requests avoid the target, since it was ejected before.
     pub(crate) probation_until: Timestamp,
-    pub(crate) last_ejection: Millis,
-    /// Until then the floor's refusal of an ejection is not reported again.
-    pub(crate) keep_reported_until: Timestamp,
+    pub(crate) last_ejection_duration: Millis,
+    /// Earliest time of the next report that the floor prevents an ejection.
+    pub(crate) next_keep_report: Timestamp,
 }
 
 impl Target {
@@ -82,15 +82,15 @@
             state: ServiceState::InUse,
             health: Health::default(),
             starts: Vec::new(),
-            recent: RecentCount::default(),
+            recent_observations: RecentCounter::default(),
             remote: RemoteEvidence::default(),
             ejections: 0,
             healthy_since: now,
             shed_until: Timestamp(0),
             cold_until: Timestamp(0),
             probation_until: Timestamp(0),
-            last_ejection: Millis(0),
-            keep_reported_until: Timestamp(0),
+            last_ejection_duration: Millis(0),
+            next_keep_report: Timestamp(0),
         }
     }
 
@@ -102,16 +102,16 @@
         u32::try_from(self.starts.len()).unwrap_or(u32::MAX)
     }
 
-    /// Requests in flight from this entry per slot, counting the next one.
+    /// Requests in flight from this entry per slot, including the next one.
     pub(crate) fn load(&self) -> f64 {
         f64::from(self.in_flight() + 1) / f64::from(self.member.slots.0.max(1))
     }
 
-    /// Evidence of this entry, with that of the requests in flight.
+    /// Evidence of this entry, including that of the requests in flight, in nats.
     pub(crate) fn suspicion(&self, now: Timestamp, slow_limit_ms: f64) -> f64 {
         let suspicion = self.health.suspicion();
-        let oldest = self.starts.first().map_or(Millis(0), |s| now.since(*s));
-        if in_flight_evidence(oldest, slow_limit_ms) <= 0.0 || now < self.cold_until {
+        let oldest_age = self.starts.first().map_or(Millis(0), |s| now.since(*s));
+        if in_flight_evidence(oldest_age, slow_limit_ms) <= 0.0 || now < self.cold_until {
             return suspicion;
         }
         let in_flight: f64 = self
@@ -119,20 +119,20 @@
             .iter()
             .map(|start| in_flight_evidence(now.since(*start), slow_limit_ms))
             .sum();
-        (suspicion + in_flight).min(SUSPICION_LIMIT)
+        (suspicion + in_flight).min(MAX_SUSPICION)
     }
 
-    /// Takes a request out of those in flight. The result doesn't name its request, so the one that
-    /// fits best is taken: by the answer time, or the oldest or newest one by kind of failure.
+    /// Removes a request from those in flight. The result doesn't identify its request, so the best
+    /// match is removed: by latency for an answer, else the oldest or newest by kind of failure.
     pub(crate) fn end_request(&mut self, now: Timestamp, observation: Observation) {
         if self.starts.is_empty() {
             return;
         }
-        let at = match observation {
+        let index = match observation {
             Observation::Answered(time) => {
                 let start = now.0.saturating_sub(time.0);
                 (0..self.starts.len())
-                    .min_by_key(|at| self.starts[*at].0.abs_diff(start))
+                    .min_by_key(|index| self.starts[*index].0.abs_diff(start))
                     .unwrap_or(0)
             }
             Observation::TimedOut | Observation::AnswerBroken | Observation::ServerError => 0,
@@ -140,6 +140,6 @@
                 self.starts.len() - 1
             }
         };
-        self.starts.remove(at);
+        self.starts.remove(index);
     }
 }
