--- a/crates/auburnbridge_policy/tests/admission.rs
+++ b/crates/auburnbridge_policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Guards the admission queue: priority, the lookups' share, deadlines and bounds.
+//! Tests of the admission queue: priority, guaranteed share, deadlines and bounds.
 
 use auburnbridge_policy::{
     AdmissionPolicy, AdmissionQueue, Ended, Next, RequestClass, Reservation, Waiting,
@@ -16,7 +16,7 @@
     }
 }
 
-fn waiting(class: RequestClass, item: u32) -> Waiting<u32> {
+fn queued(class: RequestClass, item: u32) -> Waiting<u32> {
     Waiting {
         class,
         deadline: START.after(Millis(60_000)),
@@ -24,53 +24,53 @@
     }
 }
 
-fn started(queue: &mut AdmissionQueue<u32>) -> Vec<RequestClass> {
+fn start_all(queue: &mut AdmissionQueue<u32>) -> Vec<RequestClass> {
     let mut classes = Vec::new();
     while let Some(next) = queue.next(START) {
         match next {
             Next::Start(request) => classes.push(request.class),
-            Next::Expired(request) => panic!("{request:?} has time left"),
+            Next::Expired(request) => panic!("{request:?} expired before its deadline"),
         }
     }
     classes
 }
 
-/// Guards against lookups that starve under non-idempotent work, and against lookups that take more
-/// than their share of the starts from it.
+/// Guards against idempotent requests that starve under non-idempotent load, or that take more than
+/// their guaranteed share of the starts from it.
 #[test]
-fn lookups_keep_exactly_their_share() {
+fn idempotent_requests_get_exactly_their_share() {
     for share in [0.1, 0.25, 0.5] {
         let mut queue = AdmissionQueue::new(policy(share), Slots(8));
         for item in 0..900 {
-            queue.offer(START, waiting(RequestClass::Once, item)).ok();
-            let lookup = waiting(RequestClass::Idempotent, item);
-            queue.offer(START, lookup).ok();
+            queue.offer(START, queued(RequestClass::Once, item)).ok();
+            let idempotent = queued(RequestClass::Idempotent, item);
+            queue.offer(START, idempotent).ok();
         }
-        let (mut lookups, mut all) = (0.0, 0.0);
+        let (mut idempotent, mut all) = (0.0, 0.0);
         while all < 400.0 {
-            for class in started(&mut queue) {
+            for class in start_all(&mut queue) {
                 all += 1.0;
-                lookups += f64::from(u8::from(class == RequestClass::Idempotent));
+                idempotent += f64::from(u8::from(class == RequestClass::Idempotent));
                 queue.finish(class, Ended::Answered(Millis(1)));
             }
         }
-        let measured = lookups / all;
+        let measured = idempotent / all;
         assert!((measured - share).abs() < 0.02, "{measured} for {share}");
     }
 }
 
-/// Guards against a non-idempotent request that waits behind lookups.
+/// Guards against a non-idempotent request that waits behind queued idempotent requests.
 #[test]
-fn once_goes_before_waiting_lookups() {
+fn once_starts_before_queued_idempotent_requests() {
     let mut queue = AdmissionQueue::new(policy(0.1), Slots(4));
     for item in 0..100 {
         queue
-            .offer(START, waiting(RequestClass::Idempotent, item))
+            .offer(START, queued(RequestClass::Idempotent, item))
             .unwrap();
     }
-    let first = started(&mut queue);
-    assert!(!first.is_empty(), "free slots are used");
-    queue.offer(START, waiting(RequestClass::Once, 0)).unwrap();
+    let first = start_all(&mut queue);
+    assert!(!first.is_empty(), "requests start while slots are free");
+    queue.offer(START, queued(RequestClass::Once, 0)).unwrap();
     queue.finish(RequestClass::Idempotent, Ended::Answered(Millis(30)));
     assert_eq!(queue.next(START).map(class_of), Some(RequestClass::Once));
 }
@@ -81,29 +81,33 @@
     }
 }
 
-/// Guards against a queue without bound, against a wait beyond the deadline, and against a rejection
-/// without a hint when to come back.
+/// Guards against an unbounded queue, a queueing delay beyond the deadline, and a rejection without a
+/// usable retry delay.
 #[test]
-fn hopeless_requests_are_rejected_early() {
+fn requests_that_would_expire_are_rejected_early() {
     let mut queue = AdmissionQueue::new(policy(0.1), Slots(4));
-    let mut hints = Vec::new();
+    let mut retry_delays = Vec::new();
     for item in 0..2_000 {
-        let mut request = waiting(RequestClass::Idempotent, item);
+        let mut request = queued(RequestClass::Idempotent, item);
         request.deadline = START.after(Millis(2_000));
         if let Err(rejected) = queue.offer(START, request) {
-            hints.push(rejected.retry_after);
+            retry_delays.push(rejected.retry_after);
         }
     }
     assert!(queue.waiting() < 200, "{} wait", queue.waiting());
-    assert!(hints.iter().all(|hint| (1..=2_000).contains(&hint.0)));
+    assert!(
+        retry_delays
+            .iter()
+            .all(|delay| (1..=2_000).contains(&delay.0))
+    );
     let late = START.after(Millis(1_999));
     assert!(matches!(queue.next(late), Some(Next::Expired(_))));
 }
 
 proptest! {
-    /// Guards against requests that are lost, run twice or exceed the slots, over random schedules.
+    /// Guards against requests that are lost, run twice or exceed the slots, under random schedules.
     #[test]
-    fn every_request_ends_once(steps in prop::collection::vec(0_u8..6, 1..400)) {
+    fn every_request_ends_exactly_once(steps in prop::collection::vec(0_u8..6, 1..400)) {
         let mut queue = AdmissionQueue::new(AdmissionPolicy::default(), Slots(6));
         let (mut offered, mut ended) = (0_u32, 0_u32);
         let mut running: Vec<Waiting<u32>> = Vec::new();
--- a/crates/auburnbridge_policy/tests/evidence.rs
+++ b/crates/auburnbridge_policy/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! Guards the evidence of one entry and its exchange between entries.
+//! Tests of the evidence of one entry and its exchange between entries.
 
 use auburnbridge_policy::{
     Action, EvidenceReport, Fleet, Member, Observation, Presence, RequestClass, Sensitivity,
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 
 const START: Timestamp = Timestamp(1_000_000);
-const USUAL: Observation = Observation::Answered(Millis(30));
+const NORMAL_ANSWER: Observation = Observation::Answered(Millis(30));
 
 fn member(at: usize) -> Member {
     Member {
@@ -32,7 +32,7 @@
     fleet
 }
 
-/// Starts a request on the target; the others are given back.
+/// Starts a request on `target`; requests that were placed on other targets are ended without evidence.
 fn start(fleet: &mut Fleet, now: Timestamp, target: &str) -> TargetKey {
     let mut rng = ChaCha8Rng::seed_from_u64(0);
     let mut others = Vec::new();
@@ -51,7 +51,7 @@
     found
 }
 
-fn work(fleet: &mut Fleet, now: Timestamp, target: &str, observation: Observation) {
+fn run_request(fleet: &mut Fleet, now: Timestamp, target: &str, observation: Observation) {
     let key = start(fleet, now, target);
     fleet.finish(now, key, observation);
 }
@@ -74,46 +74,52 @@
         .count()
 }
 
-/// Guards against a healthy target that is condemned by one entry behind a bad link, by a fault in
-/// another data centre, by old or foreign reports, or by reports with impossible figures.
+/// Guards against the ejection of a healthy target because of one entry behind a bad link, a failure
+/// in another data centre, expired reports, reports about another incarnation or reports with
+/// invalid values.
 #[test]
-fn weak_reports_eject_nothing() {
-    let suspect = |centre| report("t0", 24.0, centre);
-    let other_life = EvidenceReport {
+fn insufficient_reports_eject_nothing() {
+    let suspicion_report = |centre| report("t0", 24.0, centre);
+    let other_incarnation = EvidenceReport {
         incarnation: Incarnation(2),
-        ..suspect("east")
+        ..suspicion_report("east")
     };
-    let impossible = |figure| EvidenceReport {
-        suspicion: figure,
-        ..suspect("east")
+    let invalid = |value| EvidenceReport {
+        suspicion: value,
+        ..suspicion_report("east")
     };
     let cases = [
         (
-            "one entry, repeatedly",
-            (0..8).map(|at| (at * 250, "a", suspect("east"))).collect(),
+            "repeated reports of one entry",
+            (0..8)
+                .map(|at| (at * 250, "a", suspicion_report("east")))
+                .collect(),
         ),
         (
-            "another data centre only",
+            "reports of another data centre only",
             ["a", "b", "c", "d"]
-                .map(|from| (0, from, suspect("west")))
+                .map(|from| (0, from, suspicion_report("west")))
                 .to_vec(),
         ),
         (
-            "reports that are too old to count together",
-            vec![(0, "a", suspect("east")), (3_000, "b", suspect("east"))],
+            "reports that don't overlap in time",
+            vec![
+                (0, "a", suspicion_report("east")),
+                (3_000, "b", suspicion_report("east")),
+            ],
         ),
         (
-            "another life of the target",
+            "another incarnation of the target",
             ["a", "b", "c"]
-                .map(|from| (0, from, other_life.clone()))
+                .map(|from| (0, from, other_incarnation.clone()))
                 .to_vec(),
         ),
         (
-            "impossible figures",
+            "invalid suspicion values",
             vec![
-                (0, "a", impossible(f64::NAN)),
-                (0, "b", impossible(f64::INFINITY)),
-                (0, "c", impossible(f64::NEG_INFINITY)),
+                (0, "a", invalid(f64::NAN)),
+                (0, "b", invalid(f64::INFINITY)),
+                (0, "c", invalid(f64::NEG_INFINITY)),
             ],
         ),
     ];
@@ -121,26 +127,26 @@
         let mut fleet = fleet("east");
         for (after, from, report) in reports {
             let now = START.after(Millis(after));
-            work(&mut fleet, now, "t0", USUAL);
+            run_request(&mut fleet, now, "t0", NORMAL_ANSWER);
             assert_eq!(merge(&mut fleet, now, from, &[report]), 0, "{name}");
             assert!(
                 fleet
                     .decide(now)
                     .iter()
-                    .all(|made| made.action != Action::Eject),
+                    .all(|decision| decision.action != Action::Eject),
                 "{name}"
             );
         }
     }
 }
 
-/// Guards against a target that each entry has to condemn by itself although others of its data
-/// centre, or of two others, see the fault too.
+/// Guards against a failing target that each entry ejects only on its own evidence, although entries of
+/// its own data centre, or of two other ones, report the failures too.
 #[test]
-fn several_witnesses_eject_sooner_than_one() {
+fn several_suspecting_entries_eject_together() {
     for centres in [["east", "east", "east"], ["west", "north", "south"]] {
         let mut fleet = fleet("east");
-        work(&mut fleet, START, "t0", Observation::AnswerBroken);
+        run_request(&mut fleet, START, "t0", Observation::AnswerBroken);
         let ejections: usize = centres
             .iter()
             .enumerate()
@@ -153,30 +159,30 @@
     }
 }
 
-/// Guards against healthy observations that count for nothing against failures by chance.
+/// Guards against an ejection after random failures that ignores the healthy observations of others.
 #[test]
-fn healthy_observations_outweigh_chance() {
+fn healthy_observations_outweigh_random_failures() {
     let mut fleet = fleet("east");
     for entry in 0..8 {
         let reports = [report("t0", 0.0, "east")];
-        merge(&mut fleet, START, &format!("well{entry}"), &reports);
+        merge(&mut fleet, START, &format!("healthy{entry}"), &reports);
     }
-    work(&mut fleet, START, "t0", Observation::AnswerBroken);
+    run_request(&mut fleet, START, "t0", Observation::AnswerBroken);
     for entry in 0..3 {
         let reports = [report("t0", 3.9, "east")];
-        let from = format!("unlucky{entry}");
+        let from = format!("suspecting{entry}");
         assert_eq!(merge(&mut fleet, START, &from, &reports), 0);
     }
 }
 
-/// Guards against reports that echo what others said, that grow without bound, and that are never
-/// taken back.
+/// Guards against reports that repeat the suspicion of other entries, that grow without bound, and
+/// that are not withdrawn once the target works again.
 #[test]
-fn entry_reports_only_what_it_saw() {
+fn entry_reports_only_its_own_observations() {
     let mut fleet = fleet("east");
     assert!(fleet.evidence(START).is_empty());
     merge(&mut fleet, START, "a", &[report("t1", 24.0, "east")]);
-    work(&mut fleet, START, "t0", Observation::AnswerBroken);
+    run_request(&mut fleet, START, "t0", Observation::AnswerBroken);
     let reports = fleet.evidence(START);
     let seen: Vec<_> = reports
         .iter()
@@ -184,25 +190,25 @@
         .collect();
     assert_eq!(seen, [("t0", true), ("t1", false)]);
     for _ in 0..8 {
-        work(&mut fleet, START, "t0", USUAL);
+        run_request(&mut fleet, START, "t0", NORMAL_ANSWER);
     }
     let later = START.after(Millis(250));
-    let taken_back = fleet.evidence(later);
-    assert_eq!(taken_back.len(), 1);
-    assert!(taken_back[0].suspicion <= 0.0);
+    let withdrawn = fleet.evidence(later);
+    assert_eq!(withdrawn.len(), 1);
+    assert!(withdrawn[0].suspicion <= 0.0);
     assert!(fleet.evidence(START.after(Millis(10_000))).is_empty());
 }
 
-/// Guards against a silent target that gets non-idempotent work until the first deadline ends, and
-/// against one that stays in use until then.
+/// Guards against a silent target that gets non-idempotent requests, or stays in use, until the first
+/// deadline passes because only finished requests count as evidence.
 #[test]
 fn requests_in_flight_are_evidence() {
     let mut fleet = fleet("east");
     for target in ["t0", "t1", "t2", "t3"] {
-        work(&mut fleet, START, target, USUAL);
+        run_request(&mut fleet, START, target, NORMAL_ANSWER);
     }
     for _ in 0..32 {
-        work(&mut fleet, START, "t1", USUAL);
+        run_request(&mut fleet, START, "t1", NORMAL_ANSWER);
     }
     start(&mut fleet, START, "t0");
     let overdue = START.after(Millis(200));
@@ -221,19 +227,19 @@
     assert_eq!(decisions[0].action, Action::Eject);
 }
 
-/// Guards against ejecting a target that is slow only because it has just started.
+/// Guards against suspicion of a target that is slow only because it has just restarted.
 #[test]
 fn cold_target_is_not_slow() {
     let mut fleet = fleet("east");
     for _ in 0..40 {
-        work(&mut fleet, START, "t1", USUAL);
-        work(&mut fleet, START, "t2", USUAL);
+        run_request(&mut fleet, START, "t1", NORMAL_ANSWER);
+        run_request(&mut fleet, START, "t2", NORMAL_ANSWER);
     }
     let mut members: Vec<Member> = (0..4).map(member).collect();
     members[0].incarnation = Incarnation(2);
     fleet.reconcile(START, &members);
     for _ in 0..20 {
-        work(&mut fleet, START, "t0", Observation::Answered(Millis(300)));
+        run_request(&mut fleet, START, "t0", Observation::Answered(Millis(300)));
     }
     assert!(fleet.view().iter().all(|view| view.suspicion <= 0.0));
 }
--- a/crates/auburnbridge_policy/tests/floor.rs
+++ b/crates/auburnbridge_policy/tests/floor.rs
@@ -1,4 +1,4 @@
-//! Guards the floor: every sequence of events over small fleets, seen by one or two entries.
+//! Exhaustive tests of the floor: all event sequences on small fleets, with one or two entries.
 
 use auburnbridge_policy::{
     EvidenceReport, Fleet, Member, Observation, Presence, RequestClass, Sensitivity, ServicePolicy,
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 
 const START: Timestamp = Timestamp(1_000_000);
-/// Enough failures in a row to pass any threshold.
+/// Consecutive failures that exceed every threshold.
 const FAILURES: usize = 6;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,10 +17,10 @@
     Failures(usize),
     Success(usize),
     LeaseLost(usize),
-    LeaseBack(usize),
+    LeaseRenewed(usize),
     Restart(usize),
     Leave(usize),
-    Condemned(usize),
+    PeerReports(usize),
     Wait(u64),
 }
 
@@ -31,16 +31,16 @@
             Event::Failures(target),
             Event::Success(target),
             Event::LeaseLost(target),
-            Event::LeaseBack(target),
+            Event::LeaseRenewed(target),
             Event::Restart(target),
             Event::Leave(target),
-            Event::Condemned(target),
+            Event::PeerReports(target),
         ]);
     }
     events
 }
 
-/// One entry's view: what it was announced and what it decided.
+/// State of one entry: the members announced to it and its fleet.
 #[derive(Clone)]
 struct Entry {
     fleet: Fleet,
@@ -76,8 +76,8 @@
         self.fleet.reconcile(now, &members);
     }
 
-    /// Gives the target one request and ends it so; ejected targets get none.
-    fn work(&mut self, now: Timestamp, target: usize, observation: Observation) {
+    /// Runs one request on the target with the given result; an ejected target gets none.
+    fn send(&mut self, now: Timestamp, target: usize, observation: Observation) {
         let id = format!("target-{target}").parse().unwrap();
         let mut rng = ChaCha8Rng::seed_from_u64(0);
         let mut others = Vec::new();
@@ -103,26 +103,26 @@
         match event {
             Event::Failures(target) => {
                 for _ in 0..FAILURES {
-                    self.work(*now, target, Observation::TimedOut);
+                    self.send(*now, target, Observation::TimedOut);
                 }
             }
-            Event::Success(target) => self.work(*now, target, Observation::Answered(Millis(5))),
+            Event::Success(target) => self.send(*now, target, Observation::Answered(Millis(5))),
             Event::LeaseLost(target) => self.set_presence(target, Presence::Stale(*now)),
-            Event::LeaseBack(target) => self.set_presence(target, Presence::Ready),
+            Event::LeaseRenewed(target) => self.set_presence(target, Presence::Ready),
             Event::Restart(target) => {
                 if let Some(member) = &mut self.members[target] {
                     member.incarnation = Incarnation(member.incarnation.0 + 1);
                 }
             }
             Event::Leave(target) => self.members[target] = None,
-            Event::Condemned(target) => self.merge_reports(*now, target),
+            Event::PeerReports(target) => self.merge_reports(*now, target),
             Event::Wait(time) => *now = now.after(Millis(time)),
         }
         self.reconcile(*now);
         self.fleet.decide(*now);
     }
 
-    /// Reports of three other entries that suspect the target strongly.
+    /// Merges reports of three other entries that suspect the target at the maximum.
     fn merge_reports(&mut self, now: Timestamp, target: usize) {
         let Some(member) = &self.members[target] else {
             return;
@@ -156,8 +156,8 @@
             .collect()
     }
 
-    /// The bound computed from the announcements, not by the code under test.
-    fn bound(&self, floor: u32) -> u32 {
+    /// Effective floor, computed from the announcements independently of the code under test.
+    fn effective_floor(&self, floor: u32) -> u32 {
         let announced: u32 = self.members.iter().flatten().map(|m| m.slots.0).sum();
         floor.min(announced)
     }
@@ -184,8 +184,9 @@
     }
 }
 
-/// Guards H1 on one entry: no sequence of failures, lost leases, restarts, reports, departures and waits
-/// brings the slots in use below the floor, or below all announced slots if those are fewer.
+/// Guards against ejections below the floor on one entry: no sequence of failures, expired leases,
+/// restarts, reports, departures and waits brings the slots in use below the floor, or below all
+/// announced slots if those are fewer.
 #[test]
 fn every_short_sequence_of_events_keeps_the_floor() {
     let mut states = 0_u32;
@@ -200,10 +201,10 @@
             let mut check = |entry: &Entry, trace: &[Event]| {
                 states += 1;
                 let in_use: u32 = entry.in_use().iter().map(|(_, slots)| slots).sum();
-                let bound = entry.bound(floor);
+                let effective_floor = entry.effective_floor(floor);
                 assert!(
-                    in_use >= bound,
-                    "{in_use} slots in use, bound {bound}, {slots:?} floor {floor}: {trace:?}"
+                    in_use >= effective_floor,
+                    "{in_use} slots in use, effective floor {effective_floor}, {slots:?} floor {floor}: {trace:?}"
                 );
                 let announced = entry.members.iter().flatten().count();
                 ejections += u32::from(entry.in_use().len() < announced);
@@ -213,13 +214,16 @@
         }
     }
     println!("{states} states, {ejections} of them with a target out of service");
-    assert!(ejections > states / 20, "the search must reach ejections");
+    assert!(
+        ejections > states / 20,
+        "the search reached too few ejections"
+    );
 }
 
-/// Guards H1 across entries: two entries that decide without talking, each behind its own cuts,
-/// together use at least the floor of the targets that both know.
+/// Guards against ejections below the floor across entries: two entries that decide independently, each
+/// after its own event sequence, together use at least the floor of the targets that both know.
 #[test]
-fn two_racing_entries_together_keep_the_floor() {
+fn independent_entries_together_keep_the_floor() {
     let floor = 3;
     let mut pairs = 0_u32;
     let mut views: Vec<Vec<(String, u32)>> = Vec::new();
@@ -247,9 +251,9 @@
     assert!(pairs >= 9, "only {pairs} pairs of views reached");
 }
 
-/// Guards against a fleet that refuses work when every target looks sick.
+/// Guards against a fleet that refuses requests when all targets appear unhealthy.
 #[test]
-fn all_sick_spreads_over_the_floor() {
+fn floor_stays_in_use_when_all_targets_fail() {
     let mut entry = Entry::new(&[3, 3, 3, 3], 6);
     let mut now = START;
     for target in 0..4 {
--- a/crates/auburnbridge_policy/tests/tables.rs
+++ b/crates/auburnbridge_policy/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Guards the bounded tables of poisoned requests, account limits and retry budgets.
+//! Tests of the bounded tables: poison requests, rate limits per account and retry budgets.
 
 use auburnbridge_policy::{
     AccountLimit, AccountLimiter, CrashReport, POISON_TIME, PoisonTable, RetryBudget,
@@ -21,7 +21,7 @@
     BodyDigest(bytes)
 }
 
-/// Guards against a request that crashes a third target, and against refusing any other request.
+/// Guards against a request that may crash a third target, and against the refusal of other requests.
 #[test]
 fn second_crashed_target_poisons_only_that_request() {
     let mut table = PoisonTable::default();
@@ -29,7 +29,7 @@
     table.record(START, report(1, "a"));
     assert!(
         !table.is_poisoned(START, &digest(1)),
-        "one crash, reported twice"
+        "one crash that was reported twice"
     );
     table.record(START, report(1, "b"));
     assert!(table.is_poisoned(START, &digest(1)));
@@ -38,7 +38,7 @@
     assert!(!table.is_poisoned(later, &digest(1)));
 }
 
-/// Guards against a table that grows with the number of crashing requests.
+/// Guards against a table that grows with the number of poison requests.
 #[test]
 fn poison_table_is_bounded_and_drops_the_oldest() {
     let mut table = PoisonTable::default();
@@ -51,8 +51,8 @@
     assert!(!table.is_poisoned(START, &digest(0)));
 }
 
-/// Guards against an account that exceeds its burst or its rate, and against a limit that never
-/// lets it send again.
+/// Guards against an account that exceeds its burst or its rate, and against one that stays blocked
+/// after the retry time.
 #[test]
 fn account_gets_its_burst_and_then_its_rate() {
     let mut limiter = AccountLimiter::default();
@@ -72,7 +72,7 @@
     assert!(limiter.is_empty());
 }
 
-/// Guards against a retry storm: with every request failing, retries stay near the budget.
+/// Guards against a retry storm: when all requests fail, the retries stay within the budget.
 #[test]
 fn retries_stay_within_the_budget() {
     let mut budget = RetryBudget::new(START, 10, RatePerSecond(3));
@@ -82,6 +82,6 @@
         budget.record_request(now);
         retries += u32::from(budget.try_retry(now));
     }
-    // 10% of 10,000 requests, 3 a second for 10 s, and the 3 tokens of the start.
+    // 10% of 10,000 requests, 3 per second for 10 s, and the 3 initial tokens.
     assert!((1_000..=1_033).contains(&retries), "{retries} retries");
 }
