--- a/crates/auburnbridge_policy/examples/admission/main.rs
+++ b/crates/auburnbridge_policy/examples/admission/main.rs
@@ -1,16 +1,17 @@
-//! Compares ways to share slots between entries and to put non-idempotent work first.
+//! Compares ways to share slots between entries and to prioritize non-idempotent requests.
 //!
 //! `cargo run --release -p auburnbridge_policy --example admission`
 //!
-//! 25 targets with 3 slots behind 14 entries, log-normal service times with a median of 30 ms. A
-//! target with no free slot sheds at once, and the entry tries up to 3 targets without a queue, or
-//! puts the request back to the head of its queue. Time is simulated; the seeds are printed.
+//! 14 entries send to 25 targets with 3 slots each; service times are log-normal with a median of
+//! 30 ms. A target without a free slot sheds at once. The entry then tries up to 3 targets without a
+//! queue, or returns the request to the head of its queue. Lookups are the idempotent requests. Time
+//! is simulated; the seeds are printed.
 
 #![expect(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "figures of a report are far below the limits of their types"
+    reason = "reported values are far below the limits of their types"
 )]
 
 mod simulation;
@@ -18,15 +19,17 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use auburnbridge_policy::Reservation;
-use simulation::{Outcome, Plan, Sharing, run};
+use simulation::{Outcome, Scenario, Sharing, run};
 
 const SEEDS: usize = 30;
-/// Threads of the runs; the machine is shared.
+/// Number of threads for the runs, since the machine is shared.
 const THREADS: usize = 3;
-/// Non-idempotent arrivals as a share of capacity.
+/// Non-idempotent arrivals, as a share of capacity.
 const ONCE_LOAD: f64 = 0.1;
-const QUIET_LOOKUPS: f64 = 0.2;
-const STORM_LOOKUPS: f64 = 3.0;
+/// Lookups under normal load, as a share of capacity.
+const NORMAL_LOOKUP_LOAD: f64 = 0.2;
+/// Lookups under overload, as a share of capacity.
+const OVERLOAD_LOOKUP_LOAD: f64 = 3.0;
 
 fn main() {
     println!(
@@ -44,24 +47,28 @@
             ("queue, fixed 20%", queue(Reservation::Fixed(0.2))),
             ("queue, look-ahead", queue(Reservation::LookAhead)),
         ] {
-            for lookup_load in [QUIET_LOOKUPS, STORM_LOOKUPS] {
-                let plan = Plan {
+            for lookup_load in [NORMAL_LOOKUP_LOAD, OVERLOAD_LOOKUP_LOAD] {
+                let scenario = Scenario {
                     sharing,
                     is_unequal,
                     once_load: ONCE_LOAD,
                     lookup_load,
                 };
-                report(label, plan, &run_seeds(plan));
+                report(label, scenario, &run_seeds(scenario));
             }
         }
     }
 }
 
-fn report(label: &str, plan: Plan, outcomes: &[Outcome]) {
-    let load = if plan.is_unequal { "unequal" } else { "equal" };
+fn report(label: &str, scenario: Scenario, outcomes: &[Outcome]) {
+    let load = if scenario.is_unequal {
+        "unequal"
+    } else {
+        "equal"
+    };
     println!(
         "{load:8} {label:27} lookups={:.1} once_p50_ms={:14} once_p99_ms={:16} once_unserved={:14} lookup_p99_ms={:18} lookup_unserved={:14} busy_slots_permille={:14} sheds_per_1000={}",
-        plan.lookup_load,
+        scenario.lookup_load,
         spread(outcomes, |o| o.once_p50_ms),
         spread(outcomes, |o| o.once_p99_ms),
         spread(outcomes, |o| o.once_unserved),
@@ -72,28 +79,28 @@
     );
 }
 
-/// Median, least and greatest of a figure.
-fn spread(outcomes: &[Outcome], figure: impl Fn(&Outcome) -> u64) -> String {
-    let mut values: Vec<u64> = outcomes.iter().map(figure).collect();
+/// Median, minimum and maximum of a metric.
+fn spread(outcomes: &[Outcome], metric: impl Fn(&Outcome) -> u64) -> String {
+    let mut values: Vec<u64> = outcomes.iter().map(metric).collect();
     values.sort_unstable();
     let median = values[values.len() / 2];
     format!("{median} [{}..{}]", values[0], values[values.len() - 1])
 }
 
-fn run_seeds(plan: Plan) -> Vec<Outcome> {
-    let next = AtomicUsize::new(0);
+fn run_seeds(scenario: Scenario) -> Vec<Outcome> {
+    let next_seed = AtomicUsize::new(0);
     std::thread::scope(|scope| {
-        let work = || {
+        let run_next = || {
             let mut outcomes = Vec::new();
             loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
+                let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                 if seed >= SEEDS {
                     return outcomes;
                 }
-                outcomes.push(run(plan, seed as u64));
+                outcomes.push(run(scenario, seed as u64));
             }
         };
-        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(work)).collect();
+        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(run_next)).collect();
         threads
             .into_iter()
             .flat_map(|thread| thread.join().expect("a run does not panic"))
--- a/crates/auburnbridge_policy/examples/admission/simulation.rs
+++ b/crates/auburnbridge_policy/examples/admission/simulation.rs
@@ -1,4 +1,5 @@
-//! One run: arrivals, entries that admit and choose, targets that run or shed.
+//! One simulated run: arrivals, admission and choice of targets on the entries, and targets that run
+//! or shed requests.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -18,59 +19,59 @@
 const SERVICE_SIGMA: f64 = 0.5;
 const MEAN_SERVICE_US: f64 = 34_000.0;
 const RUN_US: u64 = 12_000_000;
-/// Time before results are counted.
-const SETTLE_US: u64 = 2_000_000;
+/// Time before results count.
+const WARM_UP_US: u64 = 2_000_000;
 /// Round trip of a request that a target sheds.
-const SHED_US: u64 = 3_000;
+const SHED_ROUND_TRIP_US: u64 = 3_000;
 const ONCE_DEADLINE_US: u64 = 5_000_000;
 const LOOKUP_DEADLINE_US: u64 = 2_000_000;
-const ATTEMPTS: u32 = 3;
-/// Share of the requests that come to one half of the entries when the load is unequal.
-const UNEQUAL_SHARE: f64 = 0.9;
+const MAX_ATTEMPTS: u32 = 3;
+/// Share of the requests that arrive at one half of the entries when the load is unequal.
+const BUSY_HALF_SHARE: f64 = 0.9;
 const EPOCH_MS: u64 = 1_000_000;
 
 /// How entries share the targets' slots.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Sharing {
-    /// Two random choices by local load, without a queue.
+    /// Power of two random choices by local load, without a queue.
     TwoChoices,
-    /// The same, and a pause for targets that shed.
+    /// As [`Sharing::TwoChoices`], with a backoff for targets that shed.
     ShedFeedback,
-    /// Each slot belongs to one entry; requests wait for one of their entry's slots.
+    /// Each slot is leased to one entry; requests wait for a slot of their entry.
     Leases,
-    /// The admission queue.
+    /// The admission queue of this crate.
     Queue(Reservation),
 }
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
-    /// How slots are shared.
+pub struct Scenario {
+    /// How entries share slots.
     pub sharing: Sharing,
-    /// Whether one half of the entries gets most requests.
+    /// Whether one half of the entries gets most of the requests.
     pub is_unequal: bool,
-    /// Non-idempotent arrivals as a share of capacity.
+    /// Non-idempotent arrivals, as a share of capacity.
     pub once_load: f64,
-    /// Lookups as a share of capacity.
+    /// Lookups, as a share of capacity.
     pub lookup_load: f64,
 }
 
-/// What happened.
+/// Results of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
-    /// Median time of non-idempotent requests.
+    /// Median latency of non-idempotent requests.
     pub once_p50_ms: u64,
-    /// 99th percentile of the time of non-idempotent requests.
+    /// 99th percentile of the latency of non-idempotent requests.
     pub once_p99_ms: u64,
     /// Non-idempotent requests without an answer, per mille.
     pub once_unserved: u64,
-    /// 99th percentile of the time of lookups.
+    /// 99th percentile of the latency of lookups.
     pub lookup_p99_ms: u64,
     /// Lookups without an answer, per mille.
     pub lookup_unserved: u64,
-    /// Slots that did work, per mille.
+    /// Utilization of the slots, per mille.
     pub busy_slots: u64,
-    /// Sheds per thousand answers.
+    /// Sheds per 1,000 answers.
     pub sheds: u64,
 }
 
@@ -97,7 +98,7 @@
 }
 
 #[derive(Default)]
-struct Figures {
+struct ClassStats {
     times_ms: Vec<u64>,
     unserved: u64,
 }
@@ -105,12 +106,12 @@
 struct Entry {
     fleet: Fleet,
     queue: AdmissionQueue<Request>,
-    /// Slots that belong to this entry, by target.
+    /// Target of each free slot that is leased to this entry.
     leased: Vec<usize>,
 }
 
 struct Run {
-    plan: Plan,
+    scenario: Scenario,
     rng: ChaCha8Rng,
     now_us: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
@@ -118,27 +119,27 @@
     entries: Vec<Entry>,
     running: Vec<u32>,
     exchanges: Vec<Option<Exchange>>,
-    free: Vec<usize>,
-    once: Figures,
-    lookups: Figures,
+    free_indices: Vec<usize>,
+    once: ClassStats,
+    lookups: ClassStats,
     busy_us: u64,
     sheds: u64,
 }
 
-/// Runs a plan with one seed.
-pub fn run(plan: Plan, seed: u64) -> Outcome {
+/// Runs a scenario with one seed.
+pub fn run(scenario: Scenario, seed: u64) -> Outcome {
     let mut run = Run {
-        plan,
+        scenario,
         rng: ChaCha8Rng::seed_from_u64(seed),
         now_us: 0,
         events: BinaryHeap::new(),
         event_count: 0,
-        entries: (0..ENTRIES).map(|at| entry(plan, at)).collect(),
+        entries: (0..ENTRIES).map(|at| entry(scenario, at)).collect(),
         running: vec![0; TARGETS],
         exchanges: Vec::new(),
-        free: Vec::new(),
-        once: Figures::default(),
-        lookups: Figures::default(),
+        free_indices: Vec::new(),
+        once: ClassStats::default(),
+        lookups: ClassStats::default(),
         busy_us: 0,
         sheds: 0,
     };
@@ -149,14 +150,14 @@
         }
         run.now_us = time;
         match event {
-            Event::Arrival => run.arrive(),
-            Event::Finish(at) => run.finish(at),
+            Event::Arrival => run.handle_arrival(),
+            Event::Finish(index) => run.finish(index),
         }
     }
     run.outcome()
 }
 
-fn entry(plan: Plan, at: usize) -> Entry {
+fn entry(scenario: Scenario, at: usize) -> Entry {
     let members: Vec<Member> = (0..TARGETS).map(member).collect();
     let mut fleet = Fleet::new(ServicePolicy::builder().build());
     fleet.reconcile(Timestamp(EPOCH_MS), &members);
@@ -165,7 +166,7 @@
         .filter(|slot| slot % ENTRIES == at)
         .map(|slot| slot / SLOTS as usize)
         .collect();
-    let reservation = match plan.sharing {
+    let reservation = match scenario.sharing {
         Sharing::Queue(reservation) => reservation,
         Sharing::TwoChoices | Sharing::ShedFeedback | Sharing::Leases => Reservation::None,
     };
@@ -192,12 +193,12 @@
 }
 
 impl Run {
-    fn arrive(&mut self) {
-        let load = self.plan.once_load + self.plan.lookup_load;
+    fn handle_arrival(&mut self) {
+        let load = self.scenario.once_load + self.scenario.lookup_load;
         let mean_us = MEAN_SERVICE_US / (TARGETS as f64 * f64::from(SLOTS) * load);
         let gap = -(1.0 - self.rng.random::<f64>()).ln() * mean_us;
         self.schedule(gap as u64, Event::Arrival);
-        let is_once = self.rng.random_bool(self.plan.once_load / load);
+        let is_once = self.rng.random_bool(self.scenario.once_load / load);
         let request = Request {
             class: if is_once {
                 RequestClass::Once
@@ -207,8 +208,10 @@
             arrived_us: self.now_us,
             attempts: 0,
         };
-        let entry = self.entry_of_request();
-        if self.plan.sharing == Sharing::TwoChoices || self.plan.sharing == Sharing::ShedFeedback {
+        let entry = self.pick_entry();
+        if self.scenario.sharing == Sharing::TwoChoices
+            || self.scenario.sharing == Sharing::ShedFeedback
+        {
             self.send(entry, request);
             return;
         }
@@ -219,33 +222,33 @@
         };
         let now = self.now();
         if let Err(rejected) = self.entries[entry].queue.offer(now, waiting) {
-            self.give_up(rejected.request.item);
+            self.record_unserved(rejected.request.item);
         }
-        self.start_waiting(entry);
+        self.start_queued(entry);
     }
 
-    fn entry_of_request(&mut self) -> usize {
+    fn pick_entry(&mut self) -> usize {
         let half = ENTRIES / 2;
-        if !self.plan.is_unequal {
+        if !self.scenario.is_unequal {
             return self.rng.random_range(0..ENTRIES);
         }
         let at = self.rng.random_range(0..half);
-        if self.rng.random_bool(UNEQUAL_SHARE) {
+        if self.rng.random_bool(BUSY_HALF_SHARE) {
             at
         } else {
             at + half
         }
     }
 
-    fn start_waiting(&mut self, entry: usize) {
+    fn start_queued(&mut self, entry: usize) {
         let now = self.now();
         loop {
-            if self.plan.sharing == Sharing::Leases && self.entries[entry].leased.is_empty() {
+            if self.scenario.sharing == Sharing::Leases && self.entries[entry].leased.is_empty() {
                 return;
             }
             match self.entries[entry].queue.next(now) {
                 Some(Next::Start(waiting)) => self.send(entry, waiting.item),
-                Some(Next::Expired(waiting)) => self.give_up(waiting.item),
+                Some(Next::Expired(waiting)) => self.record_unserved(waiting.item),
                 None => return,
             }
         }
@@ -254,7 +257,7 @@
     fn send(&mut self, entry: usize, mut request: Request) {
         request.attempts += 1;
         let now = self.now();
-        let chosen = if self.plan.sharing == Sharing::Leases {
+        let chosen = if self.scenario.sharing == Sharing::Leases {
             let target = self.entries[entry].leased.pop();
             target.map(|target| (target, TargetKey::default()))
         } else {
@@ -262,10 +265,10 @@
             let choice = fleet.choose(now, request.class, &[], &mut self.rng);
             choice.map(|choice| {
                 let index = choice.target.as_str()[1..].parse();
-                (index.expect("names end in the index"), choice.key)
+                (index.expect("target names end in their index"), choice.key)
             })
         };
-        let (target, key) = chosen.expect("no target is ever ejected here");
+        let (target, key) = chosen.expect("no target is ejected in this simulation");
         let is_free = self.running[target] < SLOTS;
         let service_us = is_free.then(|| service_time_us(&mut self.rng));
         self.running[target] += u32::from(is_free);
@@ -276,17 +279,22 @@
             request,
             service_us,
         };
-        let at = self.free.pop().unwrap_or(self.exchanges.len());
-        if at == self.exchanges.len() {
+        let index = self.free_indices.pop().unwrap_or(self.exchanges.len());
+        if index == self.exchanges.len() {
             self.exchanges.push(None);
         }
-        self.exchanges[at] = Some(exchange);
-        self.schedule(service_us.unwrap_or(SHED_US), Event::Finish(at));
+        self.exchanges[index] = Some(exchange);
+        self.schedule(
+            service_us.unwrap_or(SHED_ROUND_TRIP_US),
+            Event::Finish(index),
+        );
     }
 
-    fn finish(&mut self, at: usize) {
-        let exchange = self.exchanges[at].take().expect("each exchange ends once");
-        self.free.push(at);
+    fn finish(&mut self, index: usize) {
+        let exchange = self.exchanges[index]
+            .take()
+            .expect("each exchange ends once");
+        self.free_indices.push(index);
         let now = self.now();
         let request = exchange.request;
         let entry = &mut self.entries[exchange.entry];
@@ -295,12 +303,12 @@
                 let time = Millis(time / 1_000);
                 (Observation::Answered(time), Ended::Answered(time))
             }
-            None if self.plan.sharing == Sharing::TwoChoices => {
+            None if self.scenario.sharing == Sharing::TwoChoices => {
                 (Observation::NotAttributable, Ended::Shed)
             }
             None => (Observation::Shed, Ended::Shed),
         };
-        if self.plan.sharing == Sharing::Leases {
+        if self.scenario.sharing == Sharing::Leases {
             entry.leased.push(exchange.target);
         } else {
             entry.fleet.finish(now, exchange.key, observation);
@@ -308,48 +316,48 @@
         entry.queue.finish(request.class, ended);
         if let Some(time) = exchange.service_us {
             self.running[exchange.target] -= 1;
-            self.answer(request, time);
+            self.record_answer(request, time);
         } else {
             self.sheds += 1;
-            self.retry(exchange.entry, request);
+            self.retry_shed(exchange.entry, request);
         }
-        self.start_waiting(exchange.entry);
+        self.start_queued(exchange.entry);
     }
 
-    fn retry(&mut self, entry: usize, request: Request) {
-        if let Sharing::Queue(_) = self.plan.sharing {
+    fn retry_shed(&mut self, entry: usize, request: Request) {
+        if let Sharing::Queue(_) = self.scenario.sharing {
             self.entries[entry].queue.requeue(Waiting {
                 class: request.class,
                 deadline: timestamp(deadline_us(request)),
                 item: request,
             });
-        } else if request.attempts < ATTEMPTS {
+        } else if request.attempts < MAX_ATTEMPTS {
             self.send(entry, request);
         } else {
-            self.give_up(request);
+            self.record_unserved(request);
         }
     }
 
-    fn answer(&mut self, request: Request, service_us: u64) {
-        if request.arrived_us < SETTLE_US {
+    fn record_answer(&mut self, request: Request, service_us: u64) {
+        if request.arrived_us < WARM_UP_US {
             return;
         }
         self.busy_us += service_us;
         if self.now_us >= deadline_us(request) {
-            self.give_up(request);
+            self.record_unserved(request);
             return;
         }
         let time_ms = (self.now_us - request.arrived_us) / 1_000;
-        self.figures(request.class).times_ms.push(time_ms);
+        self.stats(request.class).times_ms.push(time_ms);
     }
 
-    fn give_up(&mut self, request: Request) {
-        if request.arrived_us >= SETTLE_US {
-            self.figures(request.class).unserved += 1;
+    fn record_unserved(&mut self, request: Request) {
+        if request.arrived_us >= WARM_UP_US {
+            self.stats(request.class).unserved += 1;
         }
     }
 
-    fn figures(&mut self, class: RequestClass) -> &mut Figures {
+    fn stats(&mut self, class: RequestClass) -> &mut ClassStats {
         match class {
             RequestClass::Once => &mut self.once,
             RequestClass::Idempotent => &mut self.lookups,
@@ -368,7 +376,7 @@
 
     fn outcome(mut self) -> Outcome {
         let answers = self.once.times_ms.len() + self.lookups.times_ms.len();
-        let slots_us = (RUN_US - SETTLE_US) * TARGETS as u64 * u64::from(SLOTS);
+        let slots_us = (RUN_US - WARM_UP_US) * TARGETS as u64 * u64::from(SLOTS);
         Outcome {
             once_p50_ms: self.once.percentile(50),
             once_p99_ms: self.once.percentile(99),
@@ -381,7 +389,7 @@
     }
 }
 
-impl Figures {
+impl ClassStats {
     fn percentile(&mut self, percent: usize) -> u64 {
         self.times_ms.sort_unstable();
         let at = self.times_ms.len() * percent / 100;
--- a/crates/auburnbridge_policy/examples/decision_cost.rs
+++ b/crates/auburnbridge_policy/examples/decision_cost.rs
@@ -2,11 +2,11 @@
 //!
 //! `cargo run --release -p auburnbridge_policy --example decision_cost`
 //!
-//! Memory is the growth of the process's resident set, as Linux reports it.
+//! Memory is measured as the growth of the process's resident set, from `/proc/self/status` on Linux.
 
 #![expect(
     clippy::cast_precision_loss,
-    reason = "figures of a report are far below the limits of their types"
+    reason = "reported values are far below the limits of their types"
 )]
 
 use std::hint::black_box;
@@ -30,7 +30,7 @@
     println!(
         "seed {SEED}, {TARGETS} targets, median of {ROUNDS} rounds of {CALLS} calls [min..max]"
     );
-    // First, and kept to the end, since memory that was freed would be used again uncounted.
+    // Runs first and keeps its memory to the end, since reused freed memory wouldn't be counted.
     let accounts = measure_account_memory();
     let fleets = measure_target_memory();
     for class in [RequestClass::Idempotent, RequestClass::Once] {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Time of one call in nanoseconds: median, least and greatest of the rounds.
+/// Time per call in nanoseconds: median, minimum and maximum of the rounds.
 fn measure(mut call: impl FnMut()) -> String {
     let mut rounds: Vec<f64> = (0..ROUNDS)
         .map(|_| {
@@ -146,10 +146,12 @@
     let before = resident_bytes();
     let mut limiter = AccountLimiter::default();
     for account in 0..ACCOUNTS {
-        let account = format!("account-{account}").parse().expect("valid name");
+        let account = format!("account-{account}")
+            .parse()
+            .expect("the name is valid");
         limiter
             .admit(START, &account, limit)
-            .expect("the first request");
+            .expect("the first request of an account is within its burst");
     }
     let grown = resident_bytes() - before;
     println!("memory per account: {:.0} B", grown / f64::from(ACCOUNTS));
@@ -157,15 +159,16 @@
 }
 
 fn resident_bytes() -> f64 {
-    let status = std::fs::read_to_string("/proc/self/status").expect("Linux reports the status");
+    let status = std::fs::read_to_string("/proc/self/status")
+        .expect("/proc/self/status is readable on Linux");
     let line = status
         .lines()
         .find(|line| line.starts_with("VmRSS:"))
-        .expect("the status has the resident set");
+        .expect("the status has a VmRSS line");
     let kilobytes: f64 = line
         .split_whitespace()
         .nth(1)
         .and_then(|word| word.parse().ok())
-        .expect("the size is a number");
+        .expect("the VmRSS value is a number");
     kilobytes * 1024.0
 }
--- a/crates/auburnbridge_policy/examples/ejection_curve/fault.rs
+++ b/crates/auburnbridge_policy/examples/ejection_curve/fault.rs
@@ -1,56 +1,56 @@
-//! Scripted faults and the noise of healthy targets.
+//! Injected faults and the random failures of healthy targets.
 
 use auburnbridge_policy::Observation;
 use auburnbridge_types::Millis;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Median of a healthy target's service time.
+/// Median service time of a healthy target.
 pub const SERVICE_MEDIAN_US: f64 = 30_000.0;
-/// Standard deviation of the service time's logarithm.
+/// Standard deviation of the logarithm of the service time.
 const SERVICE_SIGMA: f64 = 0.5;
-/// Share of requests whose service time has a Pareto factor (shape 1.5, up to 20) on top.
+/// Share of requests whose service time is multiplied by a Pareto factor (shape 1.5, at most 20).
 const TAIL_SHARE: f64 = 0.005;
-/// Share of requests that a healthy target fails.
-const NOISE_FAILURES: f64 = 0.005;
-/// Time after which a refused connection is known.
-const REFUSAL_US: u64 = 1_000;
-/// Half period of a flapping target.
-const FLAP_US: u64 = 3_000_000;
-/// Time in which a cold target reaches its usual speed.
-const WARM_UP_US: u64 = 20_000_000;
+/// Share of the requests that a healthy target fails.
+const HEALTHY_FAILURE_RATE: f64 = 0.005;
+/// Time until a refused connection is reported.
+const REFUSED_CONNECTION_US: u64 = 1_000;
+/// Half of the period of a flapping target.
+const FLAP_HALF_PERIOD_US: u64 = 3_000_000;
+/// Time in which a cold target reaches its normal speed.
+const COLD_START_US: u64 = 20_000_000;
 
-/// A fault, or a load condition that is none.
+/// A fault, or a load condition without one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Refuses every connection.
+    /// The target refuses all connections.
     Dead,
-    /// Accepts requests and never answers.
+    /// The target accepts requests and never answers.
     Silent,
-    /// Cuts every answer short.
+    /// The target truncates all answers.
     HalfAnswers,
-    /// Fails half of its work with a broken answer.
+    /// The target truncates half of its answers.
     FailsHalf,
-    /// Takes ten times as long.
+    /// The target takes ten times as long.
     Slow,
-    /// Cuts its answers short for 3 s and is well for 3 s, in turns.
+    /// The target alternates between 3 s of truncated answers and 3 s without a fault.
     Flapping,
-    /// Cuts its answers short for the entries of the first data centre only.
+    /// The target truncates its answers to the entries of the first data centre only.
     OneDataCentre,
-    /// Half of the first entry's exchanges, with any target, never end.
+    /// Half of the first entry's exchanges, with all targets, never end.
     BadLink,
     /// No fault.
     Noise,
     /// No fault, and arrivals at 1.3 times capacity.
     Overload,
-    /// One target restarts and needs 20 s to reach its speed, from a tenth of it.
+    /// No fault; one target restarts at a tenth of its normal speed, which it reaches after 20 s.
     ColdStart,
-    /// Two fifths of the targets cut all their answers short.
+    /// Two fifths of the targets truncate all answers.
     ManySick,
 }
 
 impl Fault {
-    /// All faults in the order of the report.
+    /// All variants, in the order of the report.
     pub const ALL: [Self; 12] = [
         Self::Dead,
         Self::Silent,
@@ -85,8 +85,8 @@
 
 /// How an exchange ends unless its deadline comes first.
 #[derive(Clone, Copy, Debug)]
-pub struct Ending {
-    /// Time from the dispatch; `None` means never.
+pub struct ExchangeEnd {
+    /// Time after the dispatch; `None` means never.
     pub after_us: Option<u64>,
     /// What the entry observes.
     pub observation: Observation,
@@ -95,77 +95,82 @@
 }
 
 /// Draws the end of an exchange with a healthy target.
-pub fn healthy(rng: &mut ChaCha8Rng) -> Ending {
+pub fn draw_healthy(rng: &mut ChaCha8Rng) -> ExchangeEnd {
     let service_us = service_time_us(rng);
     let draw: f64 = rng.random();
-    let (after_us, observation) = if draw < NOISE_FAILURES / 2.0 {
+    let (after_us, observation) = if draw < HEALTHY_FAILURE_RATE / 2.0 {
         (service_us, Observation::ServerError)
-    } else if draw < NOISE_FAILURES * 0.75 {
+    } else if draw < HEALTHY_FAILURE_RATE * 0.75 {
         (service_us, Observation::AnswerBroken)
-    } else if draw < NOISE_FAILURES {
-        (REFUSAL_US, Observation::ConnectFailed)
+    } else if draw < HEALTHY_FAILURE_RATE {
+        (REFUSED_CONNECTION_US, Observation::ConnectFailed)
     } else {
         (service_us, answered(service_us))
     };
-    Ending {
+    ExchangeEnd {
         after_us: Some(after_us),
         observation,
         holds_slot: observation != Observation::ConnectFailed,
     }
 }
 
-/// Changes an exchange with a target under a fault that began `age_us` ago.
-pub fn faulty(fault: Fault, age_us: u64, ending: Ending, rng: &mut ChaCha8Rng) -> Ending {
-    let broken = Ending {
+/// Applies a fault that began `age_us` ago to the end of an exchange.
+pub fn apply_fault(
+    fault: Fault,
+    age_us: u64,
+    end: ExchangeEnd,
+    rng: &mut ChaCha8Rng,
+) -> ExchangeEnd {
+    let broken = ExchangeEnd {
         observation: Observation::AnswerBroken,
-        ..ending
+        ..end
     };
-    let never = Ending {
+    let never = ExchangeEnd {
         after_us: None,
         observation: Observation::TimedOut,
         holds_slot: true,
     };
     match fault {
-        Fault::Dead => Ending {
-            after_us: Some(REFUSAL_US),
+        Fault::Dead => ExchangeEnd {
+            after_us: Some(REFUSED_CONNECTION_US),
             observation: Observation::ConnectFailed,
             holds_slot: false,
         },
-        // Its listener still accepts, so it has no limit and sheds nothing.
-        Fault::Silent => Ending {
+        // The listener still accepts connections, so the target has no limit and sheds nothing.
+        Fault::Silent => ExchangeEnd {
             holds_slot: false,
             ..never
         },
         Fault::HalfAnswers | Fault::OneDataCentre | Fault::ManySick => broken,
         Fault::FailsHalf if rng.random_bool(0.5) => broken,
-        Fault::Slow => slower(ending, 10),
-        Fault::Flapping if (age_us / FLAP_US).is_multiple_of(2) => broken,
+        Fault::Slow => slow_down(end, 10),
+        Fault::Flapping if (age_us / FLAP_HALF_PERIOD_US).is_multiple_of(2) => broken,
         Fault::BadLink if rng.random_bool(0.5) => never,
         Fault::FailsHalf
         | Fault::Flapping
         | Fault::BadLink
         | Fault::Noise
         | Fault::Overload
-        | Fault::ColdStart => ending,
+        | Fault::ColdStart => end,
     }
 }
 
-/// An exchange with a target that started `age_us` ago.
-pub fn cold(age_us: u64, ending: Ending) -> Ending {
-    let left = WARM_UP_US.saturating_sub(age_us);
-    slower(ending, 1 + left * 9 / WARM_UP_US)
+/// Applies the slowness of a target that started `age_us` ago to the end of an exchange.
+pub fn apply_cold_start(age_us: u64, end: ExchangeEnd) -> ExchangeEnd {
+    let remaining = COLD_START_US.saturating_sub(age_us);
+    slow_down(end, 1 + remaining * 9 / COLD_START_US)
 }
 
-fn slower(ending: Ending, factor: u64) -> Ending {
-    let after_us = ending.after_us.map(|time| time * factor);
-    let observation = match (ending.observation, after_us) {
+fn slow_down(end: ExchangeEnd, factor: u64) -> ExchangeEnd {
+    let after_us = end.after_us.map(|time| time * factor);
+    let observation = match (end.observation, after_us) {
         (Observation::Answered(_), Some(time)) => answered(time),
         (other, _) => other,
     };
-    Ending {
+    ExchangeEnd {
         after_us,
         observation,
-        ..ending
+        ..end
     }
 }
 
--- a/crates/auburnbridge_policy/examples/ejection_curve/main.rs
+++ b/crates/auburnbridge_policy/examples/ejection_curve/main.rs
@@ -1,17 +1,18 @@
-//! Measures ejection under scripted faults: detection time, false ejections and slots in use.
+//! Measures ejection under injected faults: detection time, false ejections and slots in use.
 //!
 //! `cargo run --release -p auburnbridge_policy --example ejection_curve -- MODE [LOAD] [INTERVAL_MS]`
 //!
-//! The mode `faults` runs each fault at each setup's sensitivity and the baselines, 30 s after the fault;
-//! `noise` runs 24 simulated hours of ordinary noise at the careful setting; `curve` sweeps the sensitivity.
-//! `LOAD` is the share of capacity in `faults` (0.4), `INTERVAL_MS` the interval at which entries
-//! exchange evidence (250). The seeds are printed. Pure decisions are driven under simulated time: nothing here is a network.
+//! The mode `faults` runs each fault for 30 s, with the sensitivity of each service and with the
+//! baselines. `noise` runs 24 simulated hours of random failures at the setting `careful`. `curve` sweeps
+//! the sensitivity. `LOAD` is the share of capacity in `faults` (default 0.4), `INTERVAL_MS` the interval
+//! at which entries exchange evidence (default 250). The seeds are printed. Time is simulated and there
+//! is no network.
 
 #![expect(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "figures of a report are far below the limits of their types"
+    reason = "reported values are far below the limits of their types"
 )]
 
 mod fault;
@@ -22,28 +23,28 @@
 
 use auburnbridge_policy::Sensitivity;
 use fault::Fault;
-use selector::Kind;
-use simulation::{Outcome, Plan, Setup, run};
+use selector::Algorithm;
+use simulation::{Outcome, Scenario, Service, run};
 
 const SEEDS: usize = 30;
-/// Seeds of the runs of 24 simulated hours, which take minutes each.
+/// Number of seeds for the runs of 24 simulated hours, which take minutes each.
 const DAY_SEEDS: usize = 8;
-/// Threads of the runs; the machine is shared.
+/// Number of threads for the runs, since the machine is shared.
 const THREADS: usize = 3;
-/// Arrivals as a share of capacity by day.
+/// Arrivals in the daytime, as a share of capacity.
 const DAY_LOAD: f64 = 0.4;
-/// Mean of arrivals as a share of capacity over 24 hours.
+/// Mean arrivals over 24 hours, as a share of capacity.
 const MEAN_LOAD: f64 = 0.1;
 /// Interval at which entries exchange evidence.
 const SHARE_INTERVAL_US: u64 = 250_000;
 const FAULT_WINDOW_US: u64 = 30_000_000;
 const HOUR_US: u64 = 3_600_000_000;
-/// Noise of each seed in the sweep of the sensitivity.
+/// Simulated time of random failures per seed in the sweep of the sensitivity.
 const CURVE_WINDOW_US: u64 = HOUR_US / 6;
 
-/// The services of both users. Floors are about 70% of the slots.
-const SETUPS: [Setup; 4] = [
-    Setup {
+/// Services of both users. The floors are about 70% of the slots.
+const SERVICES: [Service; 4] = [
+    Service {
         name: "ponnani-25",
         targets: 25,
         slots: 3,
@@ -51,7 +52,7 @@
         data_centres: 4,
         delay_us: 1_500,
     },
-    Setup {
+    Service {
         name: "ponnani-8",
         targets: 8,
         slots: 3,
@@ -59,7 +60,7 @@
         data_centres: 4,
         delay_us: 1_500,
     },
-    Setup {
+    Service {
         name: "glenfarrow-20",
         targets: 20,
         slots: 4,
@@ -67,7 +68,7 @@
         data_centres: 3,
         delay_us: 500,
     },
-    Setup {
+    Service {
         name: "glenfarrow-6",
         targets: 6,
         slots: 4,
@@ -96,9 +97,9 @@
     Some(text.parse().expect("the argument is a number"))
 }
 
-/// The users' points on the curve: Ponnani is careful, Glenfarrow is fast.
-fn sensitivity_of(setup: Setup) -> Sensitivity {
-    if setup.name.starts_with("ponnani") {
+/// Sensitivity that the service's user has configured: `careful` at Ponnani, `fast` at Glenfarrow.
+fn sensitivity_of(service: Service) -> Sensitivity {
+    if service.name.starts_with("ponnani") {
         Sensitivity::CAREFUL
     } else {
         Sensitivity::FAST
@@ -108,24 +109,28 @@
 fn measure_faults(load: f64, share_interval_us: u64) {
     println!("load {load} of capacity, {FAULT_WINDOW_US} us after the fault");
     println!("detection: ms until the last affected non-idempotent dispatch, median [min..max]");
-    for setup in SETUPS {
+    for service in SERVICES {
         for fault in Fault::ALL {
-            for (label, kind, shares_evidence) in [
-                ("fleet", Kind::Fleet, false),
-                ("fleet+evidence", Kind::Fleet, true),
-                ("round-robin", Kind::RoundRobin, false),
-                ("5-in-a-row", Kind::FailuresInARow, false),
+            for (label, algorithm, shares_evidence) in [
+                ("fleet", Algorithm::Fleet, false),
+                ("fleet+evidence", Algorithm::Fleet, true),
+                ("round-robin", Algorithm::RoundRobin, false),
+                ("5-in-a-row", Algorithm::ConsecutiveFailures, false),
             ] {
-                let plan = Plan {
-                    setup,
+                let scenario = Scenario {
+                    service,
                     fault,
-                    kind,
-                    sensitivity: sensitivity_of(setup),
+                    algorithm,
+                    sensitivity: sensitivity_of(service),
                     load,
                     window_us: FAULT_WINDOW_US,
                     share_interval_us: shares_evidence.then_some(share_interval_us),
                 };
-                report(&format!("{} {fault:?} {label}", setup.name), plan, SEEDS);
+                report(
+                    &format!("{} {fault:?} {label}", service.name),
+                    scenario,
+                    SEEDS,
+                );
             }
         }
     }
@@ -133,11 +138,11 @@
 
 fn measure_noise() {
     println!("load {MEAN_LOAD} of capacity, 24 simulated hours, {DAY_SEEDS} seeds, careful");
-    for setup in SETUPS {
-        let plan = noise_plan(setup, Sensitivity::CAREFUL, true, 24 * HOUR_US);
+    for service in SERVICES {
+        let scenario = noise_scenario(service, Sensitivity::CAREFUL, true, 24 * HOUR_US);
         report(
-            &format!("{} Noise fleet+evidence", setup.name),
-            plan,
+            &format!("{} Noise fleet+evidence", service.name),
+            scenario,
             DAY_SEEDS,
         );
     }
@@ -146,50 +151,50 @@
 fn measure_curve() {
     println!("detection of HalfAnswers at load {DAY_LOAD}; false ejections of all entries in");
     println!("24 simulated hours of noise at load {MEAN_LOAD}, mean of 30 seeds of 10 minutes");
-    for setup in SETUPS {
+    for service in SERVICES {
         for step in (0..=100).step_by(50) {
             let sensitivity: Sensitivity = step
                 .to_string()
                 .parse()
-                .expect("the sensitivity has 0 to 100");
+                .expect("the sensitivity is within 0 to 100");
             for shares_evidence in [false, true] {
-                let noise = noise_plan(setup, sensitivity, shares_evidence, CURVE_WINDOW_US);
+                let noise = noise_scenario(service, sensitivity, shares_evidence, CURVE_WINDOW_US);
                 let outcomes = run_seeds(noise, SEEDS);
                 let false_ejections: u32 = outcomes.iter().map(|o| o.false_ejections).sum();
                 let per_day = f64::from(false_ejections) * 144.0 / SEEDS as f64;
-                let sick = Plan {
+                let faulty = Scenario {
                     fault: Fault::HalfAnswers,
                     load: DAY_LOAD,
                     window_us: FAULT_WINDOW_US,
                     ..noise
                 };
-                let outcomes = run_seeds(sick, SEEDS);
+                let outcomes = run_seeds(faulty, SEEDS);
                 let detection = spread(&outcomes, |o| o.detection_us / 1_000);
                 let ejection = spread(&outcomes, |o| o.ejection_us / 1_000);
-                let mark = if sensitivity == sensitivity_of(setup) {
+                let marker = if sensitivity == sensitivity_of(service) {
                     " <- user"
                 } else {
                     ""
                 };
                 println!(
-                    "{:14} sensitivity={step:3} evidence={shares_evidence:5} detection_ms={detection:22} ejection_ms={ejection:22} false_per_24h={per_day:.1}{mark}",
-                    setup.name
+                    "{:14} sensitivity={step:3} evidence={shares_evidence:5} detection_ms={detection:22} ejection_ms={ejection:22} false_per_24h={per_day:.1}{marker}",
+                    service.name
                 );
             }
         }
     }
 }
 
-fn noise_plan(
-    setup: Setup,
+fn noise_scenario(
+    service: Service,
     sensitivity: Sensitivity,
     shares_evidence: bool,
     window_us: u64,
-) -> Plan {
-    Plan {
-        setup,
+) -> Scenario {
+    Scenario {
+        service,
         fault: Fault::Noise,
-        kind: Kind::Fleet,
+        algorithm: Algorithm::Fleet,
         sensitivity,
         load: MEAN_LOAD,
         window_us,
@@ -197,8 +202,8 @@
     }
 }
 
-fn report(label: &str, plan: Plan, seeds: usize) {
-    let outcomes = run_seeds(plan, seeds);
+fn report(label: &str, scenario: Scenario, seeds: usize) {
+    let outcomes = run_seeds(scenario, seeds);
     let requests: u64 = outcomes.iter().map(|o| o.requests).sum();
     println!(
         "{label:44} detection_ms={:22} once_affected={:16} false={:14} true={:14} least_in_use={} floor={} reports={} requests={requests}",
@@ -207,33 +212,33 @@
         spread(&outcomes, |o| u64::from(o.false_ejections)),
         spread(&outcomes, |o| u64::from(o.true_ejections)),
         outcomes.iter().map(|o| o.least_in_use).min().unwrap_or(0),
-        plan.setup.floor,
+        scenario.service.floor,
         spread(&outcomes, |o| o.reports),
     );
 }
 
-/// Median, least and greatest of a figure.
-fn spread(outcomes: &[Outcome], figure: impl Fn(&Outcome) -> u64) -> String {
-    let mut values: Vec<u64> = outcomes.iter().map(figure).collect();
+/// Median, minimum and maximum of a metric.
+fn spread(outcomes: &[Outcome], metric: impl Fn(&Outcome) -> u64) -> String {
+    let mut values: Vec<u64> = outcomes.iter().map(metric).collect();
     values.sort_unstable();
     let median = values[values.len() / 2];
     format!("{median} [{}..{}]", values[0], values[values.len() - 1])
 }
 
-fn run_seeds(plan: Plan, seeds: usize) -> Vec<Outcome> {
-    let next = AtomicUsize::new(0);
+fn run_seeds(scenario: Scenario, seeds: usize) -> Vec<Outcome> {
+    let next_seed = AtomicUsize::new(0);
     std::thread::scope(|scope| {
-        let work = || {
+        let run_next = || {
             let mut outcomes = Vec::new();
             loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
+                let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                 if seed >= seeds {
                     return outcomes;
                 }
-                outcomes.push(run(plan, seed as u64));
+                outcomes.push(run(scenario, seed as u64));
             }
         };
-        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(work)).collect();
+        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(run_next)).collect();
         threads
             .into_iter()
             .flat_map(|thread| thread.join().expect("a run does not panic"))
--- a/crates/auburnbridge_policy/examples/ejection_curve/selector.rs
+++ b/crates/auburnbridge_policy/examples/ejection_curve/selector.rs
@@ -1,4 +1,4 @@
-//! The entry's decisions: the policy under measurement and two baselines.
+//! Choice and ejection of targets on an entry: the measured policy and two baselines.
 
 use auburnbridge_policy::{
     Action, Decision, EvidenceReport, Fleet, Member, Observation, RequestClass, ServicePolicy,
@@ -7,23 +7,23 @@
 use auburnbridge_types::{DataCentre, Millis, Slots, TargetId, Timestamp, VmId};
 use rand_chacha::ChaCha8Rng;
 
-/// Failures in a row at which the second baseline ejects.
-const FAILURES_IN_A_ROW: u32 = 5;
-/// Time for which the second baseline ejects.
+/// Consecutive failures at which the second baseline ejects a target.
+const CONSECUTIVE_FAILURES: u32 = 5;
+/// Time for which the second baseline ejects a target.
 const BASELINE_EJECTION: Millis = Millis(30_000);
 
-/// Which decisions the entries make.
+/// Algorithm that the entries use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum Algorithm {
     /// This crate's policy.
     Fleet,
     /// Round robin without ejection.
     RoundRobin,
-    /// Round robin, and ejection after failures in a row.
-    FailuresInARow,
+    /// Round robin with ejection after consecutive failures.
+    ConsecutiveFailures,
 }
 
-/// One entry.
+/// Chooses and ejects targets for one entry.
 pub enum Selector {
     /// This crate's policy.
     Fleet(Box<Fleet>),
@@ -45,37 +45,37 @@
     ejected_until: Timestamp,
 }
 
-/// What an entry did to a target.
+/// Ejection of a target by an entry.
 pub struct Ejection {
-    /// The target.
+    /// Index of the target.
     pub target: usize,
 }
 
 impl Selector {
-    /// Creates an entry that knows the members.
+    /// Creates the state of an entry with the given members.
     pub fn new(
-        kind: Kind,
+        algorithm: Algorithm,
         policy: &ServicePolicy,
         data_centre: DataCentre,
         now: Timestamp,
         members: &[Member],
     ) -> Self {
-        match kind {
-            Kind::Fleet => {
+        match algorithm {
+            Algorithm::Fleet => {
                 let mut fleet = Fleet::new(policy.clone()).with_data_centre(data_centre);
                 fleet.reconcile(now, members);
                 Self::Fleet(Box::new(fleet))
             }
-            Kind::RoundRobin | Kind::FailuresInARow => Self::Baseline(Baseline {
+            Algorithm::RoundRobin | Algorithm::ConsecutiveFailures => Self::Baseline(Baseline {
                 next: 0,
-                ejects: kind == Kind::FailuresInARow,
+                ejects: algorithm == Algorithm::ConsecutiveFailures,
                 slots: members[0].slots.0,
                 targets: vec![BaselineTarget::default(); members.len()],
             }),
         }
     }
 
-    /// Chooses a target; gives its index and key.
+    /// Chooses a target; returns its index and key.
     pub fn choose(
         &mut self,
         now: Timestamp,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Ends a request; gives the ejections that follow from it.
+    /// Ends a request; returns the ejections that result.
     pub fn finish(
         &mut self,
         now: Timestamp,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Makes the decisions that depend on time.
+    /// Makes the time-dependent decisions; returns the ejections that result.
     pub fn decide(&mut self, now: Timestamp) -> Vec<Ejection> {
         match self {
             Self::Fleet(fleet) => ejections(&fleet.decide(now)),
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Evidence for the other entries.
+    /// Returns the reports that are due for the other entries.
     pub fn evidence(&mut self, now: Timestamp) -> Vec<EvidenceReport> {
         match self {
             Self::Fleet(fleet) => fleet.evidence(now),
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Takes over evidence of another entry.
+    /// Merges the reports of another entry; returns the ejections that result.
     pub fn merge_evidence(
         &mut self,
         now: Timestamp,
@@ -137,14 +137,14 @@
         }
     }
 
-    /// Takes over changed members.
+    /// Updates the targets to the current members.
     pub fn reconcile(&mut self, now: Timestamp, members: &[Member]) {
         if let Self::Fleet(fleet) = self {
             fleet.reconcile(now, members);
         }
     }
 
-    /// Slots in use.
+    /// Total slots of the targets in use.
     pub fn in_use(&self, now: Timestamp) -> Slots {
         match self {
             Self::Fleet(fleet) => fleet.in_use(),
@@ -173,7 +173,7 @@
             Observation::Shed | Observation::NotAttributable => {}
             _ => state.failures += 1,
         }
-        let due = state.failures >= FAILURES_IN_A_ROW && state.ejected_until <= now;
+        let due = state.failures >= CONSECUTIVE_FAILURES && state.ejected_until <= now;
         if !self.ejects || !due {
             return Vec::new();
         }
@@ -183,14 +183,14 @@
     }
 }
 
-/// Name of the target with an index.
+/// Name of the target with this index.
 pub fn target_id(index: usize) -> TargetId {
     format!("t{index}").parse().expect("the name is valid")
 }
 
 fn index_of(target: &TargetId) -> usize {
     let name = target.as_str();
-    name[1..].parse().expect("names end in the index")
+    name[1..].parse().expect("target names end in their index")
 }
 
 fn ejections(decisions: &[Decision]) -> Vec<Ejection> {
--- a/crates/auburnbridge_policy/examples/ejection_curve/simulation.rs
+++ b/crates/auburnbridge_policy/examples/ejection_curve/simulation.rs
@@ -1,7 +1,7 @@
-//! One run: entries, targets with slots, a fault, and arrivals drawn from a seed.
+//! One simulated run: entries, targets with slots, a fault, and arrivals drawn from a seed.
 //!
 //! A target runs as many requests as it has slots and sheds the others. The platform's load balancer
-//! hands each request to a random entry. Requests are not retried.
+//! sends each request to a random entry. Requests are not retried.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -13,33 +13,33 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::fault::{Ending, Fault, cold, faulty, healthy};
-use crate::selector::{Ejection, Kind, Selector, target_id};
+use crate::fault::{ExchangeEnd, Fault, apply_cold_start, apply_fault, draw_healthy};
+use crate::selector::{Algorithm, Ejection, Selector, target_id};
 
-/// Entries in front of the targets.
+/// Number of entries that send to the targets.
 pub const ENTRIES: usize = 14;
 /// Time before the fault.
 const WARM_UP_US: u64 = 10_000_000;
-/// Interval of the decisions that depend on time, as the entry has it.
+/// Interval of the time-dependent decisions, the same as on a real entry.
 const DECIDE_INTERVAL_US: u64 = 100_000;
-/// Mean service time, with the tail.
+/// Mean service time, including the Pareto tail.
 const MEAN_SERVICE_US: f64 = 34_500.0;
 const IDEMPOTENT_SHARE: f64 = 0.7;
 const IDEMPOTENT_DEADLINE_US: u64 = 2_000_000;
 const ONCE_DEADLINE_US: u64 = 5_000_000;
-const SHED_US: u64 = 500;
+const SHED_ROUND_TRIP_US: u64 = 500;
 const EPOCH_MS: u64 = 1_000_000;
 
 /// One service of a user.
 #[derive(Clone, Copy, Debug)]
-pub struct Setup {
+pub struct Service {
     /// Name in the report.
     pub name: &'static str,
     /// Number of targets.
     pub targets: usize,
     /// Slots of each target.
     pub slots: u32,
-    /// The operator's floor.
+    /// Minimum slots in use, as configured.
     pub floor: u32,
     /// Number of data centres.
     pub data_centres: usize,
@@ -47,26 +47,26 @@
     pub delay_us: u64,
 }
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct Scenario {
     /// The service.
-    pub setup: Setup,
+    pub service: Service,
     /// The fault.
     pub fault: Fault,
-    /// The decisions.
-    pub kind: Kind,
-    /// The policy's sensitivity.
+    /// Algorithm of the entries.
+    pub algorithm: Algorithm,
+    /// Sensitivity of the policy.
     pub sensitivity: Sensitivity,
-    /// Arrivals as a share of capacity.
+    /// Arrivals, as a share of capacity.
     pub load: f64,
-    /// Time from the fault to the end.
+    /// Time from the fault to the end of the run.
     pub window_us: u64,
     /// Interval at which entries exchange evidence; `None` means never.
     pub share_interval_us: Option<u64>,
 }
 
-/// What happened.
+/// Results of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
     /// Time from the fault to the last non-idempotent dispatch that the fault affected.
@@ -75,15 +75,15 @@
     pub ejection_us: u64,
     /// Non-idempotent requests that the fault affected.
     pub once_affected: u32,
-    /// Ejections by entries for which the target was well.
+    /// Ejections by entries for which the target was not faulty.
     pub false_ejections: u32,
-    /// Ejections by entries for which it was faulty.
+    /// Ejections by entries for which the target was faulty.
     pub true_ejections: u32,
-    /// Fewest slots in use on any entry.
+    /// Minimum slots in use on any entry.
     pub least_in_use: u32,
-    /// Evidence reports written.
+    /// Number of evidence reports sent.
     pub reports: u64,
-    /// Requests in the run.
+    /// Number of requests.
     pub requests: u64,
 }
 
@@ -106,7 +106,7 @@
 }
 
 struct Run {
-    plan: Plan,
+    scenario: Scenario,
     rng: ChaCha8Rng,
     now_us: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
@@ -115,28 +115,28 @@
     members: Vec<Member>,
     running: Vec<u32>,
     exchanges: Vec<Exchange>,
-    free: Vec<usize>,
+    free_indices: Vec<usize>,
     has_ejected: [bool; ENTRIES],
     outcome: Outcome,
 }
 
-/// Runs a plan with one seed.
-pub fn run(plan: Plan, seed: u64) -> Outcome {
-    let setup = plan.setup;
-    let members: Vec<Member> = (0..setup.targets).map(|at| member(setup, at)).collect();
+/// Runs a scenario with one seed.
+pub fn run(scenario: Scenario, seed: u64) -> Outcome {
+    let service = scenario.service;
+    let members: Vec<Member> = (0..service.targets).map(|at| member(service, at)).collect();
     let policy = ServicePolicy::builder()
-        .floor(Slots(setup.floor))
-        .sensitivity(plan.sensitivity)
+        .floor(Slots(service.floor))
+        .sensitivity(scenario.sensitivity)
         .build();
     let entries = (0..ENTRIES)
         .map(|entry| {
-            let data_centre = data_centre(entry % setup.data_centres);
+            let data_centre = data_centre(entry % service.data_centres);
             let now = Timestamp(EPOCH_MS);
-            Selector::new(plan.kind, &policy, data_centre, now, &members)
+            Selector::new(scenario.algorithm, &policy, data_centre, now, &members)
         })
         .collect();
     let mut run = Run {
-        plan,
+        scenario,
         rng: ChaCha8Rng::seed_from_u64(seed),
         now_us: 0,
         events: BinaryHeap::new(),
@@ -145,7 +145,7 @@
         running: vec![0; members.len()],
         members,
         exchanges: Vec::new(),
-        free: Vec::new(),
+        free_indices: Vec::new(),
         has_ejected: [false; ENTRIES],
         outcome: Outcome {
             least_in_use: u32::MAX,
@@ -154,7 +154,7 @@
     };
     run.start();
     while let Some(Reverse((time, _, event))) = run.events.pop() {
-        if time > WARM_UP_US + plan.window_us {
+        if time > WARM_UP_US + scenario.window_us {
             break;
         }
         run.now_us = time;
@@ -163,13 +163,13 @@
     run.outcome
 }
 
-fn member(setup: Setup, at: usize) -> Member {
+fn member(service: Service, at: usize) -> Member {
     Member {
         id: target_id(at),
         address: "127.0.0.1:9".parse().expect("the address is valid"),
-        data_centre: data_centre(at % setup.data_centres),
+        data_centre: data_centre(at % service.data_centres),
         incarnation: Incarnation(1),
-        slots: Slots(setup.slots),
+        slots: Slots(service.slots),
         presence: Presence::Ready,
     }
 }
@@ -185,7 +185,7 @@
         for entry in 0..ENTRIES {
             let phase = self.rng.random_range(0..DECIDE_INTERVAL_US);
             self.schedule(phase, Event::Decide(entry));
-            if self.plan.share_interval_us.is_some() {
+            if self.scenario.share_interval_us.is_some() {
                 self.schedule(phase, Event::Share(entry));
             }
         }
@@ -193,24 +193,24 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrival => self.arrive(),
+            Event::Arrival => self.handle_arrival(),
             Event::Finish(exchange) => self.finish(exchange),
             Event::Decide(entry) => {
                 let now = self.now();
                 let ejections = self.entries[entry].decide(now);
-                self.count(entry, &ejections);
+                self.record_ejections(entry, &ejections);
                 self.schedule(DECIDE_INTERVAL_US, event);
             }
-            Event::Share(entry) => self.share(entry),
+            Event::Share(entry) => self.share_evidence(entry),
             Event::Fault => self.restart_cold_target(),
         }
     }
 
-    fn arrive(&mut self) {
-        let capacity = f64::from(self.plan.setup.slots) * self.members.len() as f64;
-        let load = match self.plan.fault {
+    fn handle_arrival(&mut self) {
+        let capacity = f64::from(self.scenario.service.slots) * self.members.len() as f64;
+        let load = match self.scenario.fault {
             Fault::Overload => 1.3,
-            _ => self.plan.load,
+            _ => self.scenario.load,
         };
         let mean_us = MEAN_SERVICE_US / (capacity * load);
         let gap = -(1.0 - self.rng.random::<f64>()).ln() * mean_us;
@@ -229,64 +229,64 @@
     }
 
     fn dispatch(&mut self, entry: usize, target: usize, key: TargetKey, class: RequestClass) {
-        let setup = self.plan.setup;
+        let service = self.scenario.service;
         let deadline = match class {
             RequestClass::Idempotent => IDEMPOTENT_DEADLINE_US,
             RequestClass::Once => ONCE_DEADLINE_US,
         };
-        let mut ending = healthy(&mut self.rng);
+        let mut end = draw_healthy(&mut self.rng);
         if self.is_affected(entry, target) {
             let age = self.now_us - WARM_UP_US;
-            ending = faulty(self.plan.fault, age, ending, &mut self.rng);
+            end = apply_fault(self.scenario.fault, age, end, &mut self.rng);
             if class == RequestClass::Once {
                 self.outcome.once_affected += 1;
                 self.outcome.detection_us = age;
             }
         }
-        if self.plan.fault == Fault::ColdStart && target == 0 && self.now_us >= WARM_UP_US {
-            ending = cold(self.now_us - WARM_UP_US, ending);
+        if self.scenario.fault == Fault::ColdStart && target == 0 && self.now_us >= WARM_UP_US {
+            end = apply_cold_start(self.now_us - WARM_UP_US, end);
         }
-        if ending.holds_slot && self.running[target] >= setup.slots {
-            ending = Ending {
-                after_us: Some(SHED_US),
+        if end.holds_slot && self.running[target] >= service.slots {
+            end = ExchangeEnd {
+                after_us: Some(SHED_ROUND_TRIP_US),
                 observation: Observation::Shed,
                 holds_slot: false,
             };
         }
-        let is_remote = entry % setup.data_centres != target % setup.data_centres;
-        let network = if is_remote { 2 * setup.delay_us } else { 0 };
-        let (after, observation) = match ending.after_us {
-            Some(time) if time + network < deadline => (time + network, ending.observation),
+        let is_remote = entry % service.data_centres != target % service.data_centres;
+        let network = if is_remote { 2 * service.delay_us } else { 0 };
+        let (after, observation) = match end.after_us {
+            Some(time) if time + network < deadline => (time + network, end.observation),
             _ => (deadline, Observation::TimedOut),
         };
-        self.running[target] += u32::from(ending.holds_slot);
+        self.running[target] += u32::from(end.holds_slot);
         let exchange = Exchange {
             entry,
             target,
             key,
             observation,
-            holds_slot: ending.holds_slot,
+            holds_slot: end.holds_slot,
         };
-        let at = self.free.pop().unwrap_or(self.exchanges.len());
-        if at == self.exchanges.len() {
+        let index = self.free_indices.pop().unwrap_or(self.exchanges.len());
+        if index == self.exchanges.len() {
             self.exchanges.push(exchange);
         } else {
-            self.exchanges[at] = exchange;
+            self.exchanges[index] = exchange;
         }
-        self.schedule(after, Event::Finish(at));
+        self.schedule(after, Event::Finish(index));
     }
 
-    fn finish(&mut self, at: usize) {
-        let exchange = self.exchanges[at];
-        self.free.push(at);
+    fn finish(&mut self, index: usize) {
+        let exchange = self.exchanges[index];
+        self.free_indices.push(index);
         self.running[exchange.target] -= u32::from(exchange.holds_slot);
         let now = self.now();
         let entry = &mut self.entries[exchange.entry];
         let ejections = entry.finish(now, exchange.target, exchange.key, exchange.observation);
-        self.count(exchange.entry, &ejections);
+        self.record_ejections(exchange.entry, &ejections);
     }
 
-    fn count(&mut self, entry: usize, ejections: &[Ejection]) {
+    fn record_ejections(&mut self, entry: usize, ejections: &[Ejection]) {
         for ejection in ejections {
             if self.is_affected(entry, ejection.target) {
                 self.outcome.true_ejections += 1;
@@ -304,29 +304,29 @@
     }
 
     fn is_affected(&self, entry: usize, target: usize) -> bool {
-        let setup = self.plan.setup;
-        let data_centre = entry % setup.data_centres;
+        let service = self.scenario.service;
+        let data_centre = entry % service.data_centres;
         self.now_us >= WARM_UP_US
-            && (self.plan.fault).affects(target, setup.targets, entry, data_centre)
+            && (self.scenario.fault).affects(target, service.targets, entry, data_centre)
     }
 
-    /// Hands an entry's evidence to all others; the delay of a few milliseconds is left out.
-    fn share(&mut self, entry: usize) {
+    /// Merges an entry's evidence into all others, without the real delay of a few milliseconds.
+    fn share_evidence(&mut self, entry: usize) {
         let now = self.now();
         let from = format!("entry{entry}").parse().expect("the name is valid");
         let reports = self.entries[entry].evidence(now);
         self.outcome.reports += reports.len() as u64;
         for other in (0..ENTRIES).filter(|other| *other != entry && !reports.is_empty()) {
             let ejections = self.entries[other].merge_evidence(now, &from, &reports);
-            self.count(other, &ejections);
+            self.record_ejections(other, &ejections);
         }
-        if let Some(interval_us) = self.plan.share_interval_us {
+        if let Some(interval_us) = self.scenario.share_interval_us {
             self.schedule(interval_us, Event::Share(entry));
         }
     }
 
     fn restart_cold_target(&mut self) {
-        if self.plan.fault != Fault::ColdStart {
+        if self.scenario.fault != Fault::ColdStart {
             return;
         }
         self.members[0].incarnation = Incarnation(2);
