--- a/crates/auburnbridge_policy/src/fleet.rs
+++ b/crates/auburnbridge_policy/src/fleet.rs
@@ -154,7 +154,10 @@
             .map(|(_, key)| *key)
             .collect();
         for key in departed {
-            let target = self.targets.remove(key).expect("listed keys are live");
+            let target = self
+                .targets
+                .remove(key)
+                .expect("`by_id` holds only keys of existing targets");
             self.by_id.remove(&target.member.id);
             decisions.push(self.decision(&target, Action::Remove, Reason::Departed));
         }
