--- a/crates/auburnbridge_ledger/src/command.rs
+++ b/crates/auburnbridge_ledger/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands to the ledger and its replies.
+//! Ledger commands and replies.
 
 use std::sync::Arc;
 
@@ -10,28 +10,28 @@
 
 /// Identity of a keyed request.
 ///
-/// The idempotency key comes first, so that keys sort by their time of creation. The service is no
-/// part of it: a change of the rules between a send and its resend may move the route to another
-/// service, and the resend must still find the record.
+/// The idempotency key comes first, so that keys sort by creation time. The service is not part of
+/// the identity: a rule change between a send and its resend may move the route to another service,
+/// and the resend must still find the record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LedgerKey {
-    /// The caller's key for the request.
+    /// The idempotency key that the caller chose.
     pub idempotency_key: IdempotencyKey,
-    /// The caller's account.
+    /// The client account of the caller.
     pub account: AccountId,
 }
 
-/// The answer of a concluded request.
+/// The answer to a concluded request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoredAnswer {
-    /// The whole answer, as the entry encoded it.
+    /// The complete answer, as encoded by the entry.
     Whole(Arc<[u8]>),
-    /// The request ran; its answer was too large to keep.
+    /// The request ran, but its answer exceeded a size limit and was not stored.
     NotKept,
 }
 
 impl StoredAnswer {
-    /// Keeps `bytes` when they fit into [`MAX_ANSWER`].
+    /// Stores `bytes` unless they exceed [`MAX_ANSWER`].
     pub fn new(bytes: &[u8]) -> Self {
         if bytes.len() as u64 <= MAX_ANSWER.0 {
             Self::Whole(bytes.into())
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Number of bytes that count towards the limit on stored answers.
+    /// Number of bytes that count towards [`Limits::max_stored`](crate::Limits::max_stored).
     pub(crate) fn stored_bytes(&self) -> u64 {
         match self {
             Self::Whole(bytes) => bytes.len() as u64,
@@ -49,40 +49,40 @@
     }
 }
 
-/// A change to the ledger, as the replicated log carries it.
+/// A command to the ledger, as stored in the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Command {
-    /// Asks for permission to dispatch the request once.
+    /// Requests permission to dispatch the request once.
     Grant {
         /// The request.
         key: LedgerKey,
-        /// Digest of the request, which tells a reused key from a resend.
+        /// Digest of the request, which distinguishes a resend from a reused key.
         body_digest: BodyDigest,
-        /// The attempt that will dispatch.
+        /// The attempt that will dispatch the request.
         attempt: AttemptId,
-        /// Log time from which the outcome of an unfinished attempt is unknown.
+        /// Log time at which the outcome of an unfinished attempt becomes unknown.
         deadline: Timestamp,
-        /// How often the caller sent the request before, when it states that.
+        /// How often the caller has sent the request before, if stated.
         ///
-        /// A grant is refused when an attempt of a later send withdrew: the caller may have been
-        /// told `not-run` since, which must stay true.
+        /// The grant is refused if an attempt of a later send has withdrawn: the caller may since
+        /// have been told `not-run`, which must stay true.
         previous_attempts: Option<u32>,
     },
-    /// Gives the permission back; the holder is certain that the request did not run.
+    /// Returns the permission; the holder is certain that the request did not run.
     Withdraw {
         /// The request.
         key: LedgerKey,
-        /// The attempt that gives up.
+        /// The attempt that withdraws.
         attempt: AttemptId,
     },
-    /// Records that the request ran, and its answer.
+    /// Records that the request ran, together with its answer.
     Conclude {
         /// The request.
         key: LedgerKey,
-        /// The attempt that ran it.
+        /// The attempt that ran the request.
         attempt: AttemptId,
-        /// The answer for resends.
+        /// The answer to return to resends.
         answer: StoredAnswer,
     },
     /// Records that the outcome will never be known.
@@ -92,7 +92,7 @@
         /// The attempt that lost track of the outcome.
         attempt: AttemptId,
     },
-    /// Changes the retention of keys.
+    /// Sets the retention of keys.
     SetRetention(Millis),
 }
 
@@ -100,26 +100,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Reply {
-    /// The attempt holds the key and may dispatch once, before its deadline.
+    /// The attempt holds the key and may dispatch the request once, before its deadline.
     Granted,
     /// Another attempt holds the key.
     InProgress,
-    /// The request ran, with this answer.
+    /// The request ran and got this answer.
     Answered(StoredAnswer),
-    /// The request may have run, and the key stays blocked.
+    /// The request may have run; no further attempt is granted the key.
     Unknown,
-    /// The key was first used with another request.
+    /// The key was first used with a different request.
     BodyMismatch,
-    /// The key is past its retention or lies too far ahead of log time.
+    /// The key is past its retention, or its creation time is too far ahead of log time.
     Expired,
-    /// The attempt does not hold the key, and this command can't give it the key.
+    /// The attempt does not hold the key, and this command can't grant it.
     ///
     /// In reply to a Grant, nothing has run under the key so far: the attempt or one of a later
-    /// send withdrew, or its deadline has passed. An attempt of another send may still run, so
-    /// `not-run` is certain only for a first send.
+    /// send has withdrawn, or the attempt's deadline has passed. An attempt of another send may
+    /// still run, so `not-run` is certain only for a first send.
     NotHolder,
-    /// A limit of the ledger refuses the key; what holds for `NotHolder` holds here too.
+    /// A limit of the ledger refuses the key; the same guarantees as for `NotHolder` apply.
     Full,
-    /// The command is in effect, now or by an earlier duplicate.
+    /// The command has taken effect, either now or through an earlier duplicate.
     Done,
 }
--- a/crates/auburnbridge_ledger/src/ledger.rs
+++ b/crates/auburnbridge_ledger/src/ledger.rs
@@ -7,18 +7,18 @@
 
 use crate::record::Record;
 use crate::{
-    Command, DEFAULT_MAX_RECORDS, DEFAULT_MAX_STORED, DEFAULT_RETENTION, LedgerKey, MAX_ANSWER,
-    MAX_CLOCK_AHEAD, MAX_DROPS_PER_APPLY, Reply, StoredAnswer,
+    Command, DEFAULT_MAX_RECORDS, DEFAULT_MAX_STORED_SIZE, DEFAULT_RETENTION, LedgerKey,
+    MAX_ANSWER, MAX_CLOCK_SKEW, MAX_DROPS_PER_APPLY, Reply, StoredAnswer,
 };
 
-/// Bounds on the memory of a ledger.
+/// Limits on the memory of a ledger.
 ///
-/// They are part of the replicated state, since replicas with other bounds would reply otherwise.
+/// They are part of the replicated state: replicas with different limits would reply differently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Number of records.
+    /// Maximum number of records.
     pub max_records: usize,
-    /// Total size of the stored answers.
+    /// Maximum total size of the stored answers.
     pub max_stored: ByteSize,
 }
 
@@ -26,7 +26,7 @@
     fn default() -> Self {
         Self {
             max_records: DEFAULT_MAX_RECORDS,
-            max_stored: DEFAULT_MAX_STORED,
+            max_stored: DEFAULT_MAX_STORED_SIZE,
         }
     }
 }
@@ -37,11 +37,11 @@
     pub(crate) limits: Limits,
     pub(crate) now: Timestamp,
     pub(crate) retention: Millis,
-    /// Keys created before this time are refused for good.
-    pub(crate) accepted_from: Timestamp,
+    /// Keys created before this time are permanently refused.
+    pub(crate) expiry_cutoff: Timestamp,
     /// Sorted by creation time, which is the order of expiry.
     pub(crate) records: BTreeMap<LedgerKey, Record>,
-    pub(crate) stored: ByteSize,
+    pub(crate) stored_size: ByteSize,
 }
 
 impl Default for Ledger {
@@ -57,9 +57,9 @@
             limits,
             now: Timestamp(0),
             retention: DEFAULT_RETENTION,
-            accepted_from: Timestamp(0),
+            expiry_cutoff: Timestamp(0),
             records: BTreeMap::new(),
-            stored: ByteSize(0),
+            stored_size: ByteSize(0),
         }
     }
 
@@ -74,27 +74,27 @@
     }
 
     /// Total size of the stored answers.
-    pub fn stored(&self) -> ByteSize {
-        self.stored
+    pub fn stored_size(&self) -> ByteSize {
+        self.stored_size
     }
 
-    /// The retention of keys in force.
+    /// The current retention of keys.
     pub fn retention(&self) -> Millis {
         self.retention
     }
 
-    /// Lowest creation time at which a key is accepted; it never falls.
-    pub fn accepted_from(&self) -> Timestamp {
-        self.accepted_from
+    /// Lowest creation time at which a key is accepted; never decreases.
+    pub fn expiry_cutoff(&self) -> Timestamp {
+        self.expiry_cutoff
     }
 
-    /// Applies one command of the log; a log time that lies behind an earlier one counts as that.
+    /// Applies one command; log time never goes back, even if `log_time` is below an earlier one.
     pub fn apply(&mut self, log_time: Timestamp, command: Command) -> Reply {
         self.now = self.now.max(log_time);
         if let Command::SetRetention(retention) = command {
             self.retention = retention;
         }
-        self.raise_accepted_from();
+        self.advance_expiry_cutoff();
         self.drop_expired();
         match command {
             Command::Grant {
@@ -106,7 +106,7 @@
             } => self.grant(key, body_digest, attempt, deadline, previous_attempts),
             Command::Withdraw { key, attempt } => {
                 let now = self.now;
-                self.change(&key, |record| record.withdraw(now, attempt))
+                self.update_record(&key, |record| record.withdraw(now, attempt))
             }
             Command::Conclude {
                 key,
@@ -114,16 +114,16 @@
                 answer,
             } => self.conclude(&key, attempt, answer),
             Command::Abandon { key, attempt } => {
-                self.change(&key, |record| record.abandon(attempt))
+                self.update_record(&key, |record| record.abandon(attempt))
             }
             Command::SetRetention(_) => Reply::Done,
         }
     }
 
-    fn raise_accepted_from(&mut self) {
+    fn advance_expiry_cutoff(&mut self) {
         if let Some(last_expired) = self.now.0.checked_sub(self.retention.0) {
-            let accepted_from = Timestamp(last_expired.saturating_add(1));
-            self.accepted_from = self.accepted_from.max(accepted_from);
+            let cutoff = Timestamp(last_expired.saturating_add(1));
+            self.expiry_cutoff = self.expiry_cutoff.max(cutoff);
         }
     }
 
@@ -132,18 +132,18 @@
             let Some(oldest) = self.records.first_entry() else {
                 return;
             };
-            if oldest.key().idempotency_key.created() >= self.accepted_from {
+            if oldest.key().idempotency_key.created() >= self.expiry_cutoff {
                 return;
             }
             let record = oldest.remove();
-            self.stored.0 -= record.stored_bytes();
+            self.stored_size.0 -= record.stored_bytes();
         }
     }
 
-    /// Whether the key is refused: past its retention, or too far ahead of log time.
+    /// Whether the key is past its retention or too far ahead of log time.
     fn is_expired(&self, key: &LedgerKey) -> bool {
         let created = key.idempotency_key.created();
-        created < self.accepted_from || created > self.now.after(MAX_CLOCK_AHEAD)
+        created < self.expiry_cutoff || created > self.now.after(MAX_CLOCK_SKEW)
     }
 
     fn grant(
@@ -163,7 +163,9 @@
         if self.now >= deadline {
             return Reply::NotHolder;
         }
-        if self.records.len() >= self.limits.max_records || self.stored >= self.limits.max_stored {
+        if self.records.len() >= self.limits.max_records
+            || self.stored_size >= self.limits.max_stored
+        {
             return Reply::Full;
         }
         self.records
@@ -172,15 +174,19 @@
             .grant(self.now, body_digest, attempt, deadline, previous_attempts)
     }
 
-    /// Concludes a key; an answer over a limit is recorded as run, without the answer.
+    /// Concludes a key; an answer over a limit is not stored, only the fact that the request ran.
     fn conclude(&mut self, key: &LedgerKey, attempt: AttemptId, answer: StoredAnswer) -> Reply {
         let size = answer.stored_bytes();
-        let fits = size <= MAX_ANSWER.0 && size <= self.limits.max_stored.0 - self.stored.0;
+        let fits = size <= MAX_ANSWER.0 && size <= self.limits.max_stored.0 - self.stored_size.0;
         let kept = if fits { answer } else { StoredAnswer::NotKept };
-        self.change(key, |record| record.conclude(attempt, kept))
+        self.update_record(key, |record| record.conclude(attempt, kept))
     }
 
-    fn change(&mut self, key: &LedgerKey, change: impl FnOnce(&mut Record) -> Reply) -> Reply {
+    fn update_record(
+        &mut self,
+        key: &LedgerKey,
+        update: impl FnOnce(&mut Record) -> Reply,
+    ) -> Reply {
         if self.is_expired(key) {
             return Reply::Expired;
         }
@@ -188,8 +194,8 @@
             return Reply::NotHolder;
         };
         let before = record.stored_bytes();
-        let reply = change(record);
-        self.stored.0 = self.stored.0 - before + record.stored_bytes();
+        let reply = update(record);
+        self.stored_size.0 = self.stored_size.0 - before + record.stored_bytes();
         reply
     }
 }
--- a/crates/auburnbridge_ledger/src/lib.rs
+++ b/crates/auburnbridge_ledger/src/lib.rs
@@ -1,21 +1,21 @@
-//! The ledger of permissions to dispatch non-idempotent requests.
+//! The ledger of idempotency keys, which grants permission to dispatch non-idempotent requests.
 //!
-//! The ledger is a pure state machine over the replicated log: every replica applies the same
-//! commands with the same log times and reaches the same state and replies. It reads no clock, and
-//! the work of one command is bounded.
+//! The ledger is a deterministic state machine over the replicated log: every replica applies the
+//! same commands with the same log times and reaches the same state and replies. Log time is the
+//! timestamp of a log entry; the ledger reads no clock. The work per command is bounded.
 //!
-//! A key is granted to at most one attempt at a time. An attempt that withdraws is remembered for
-//! as long as its key, as the highest withdrawn sequence of its process, so that a delayed
-//! duplicate of its Grant is refused. At most [`MAX_WITHDRAWN_PROCESSES`] processes are remembered
-//! per key; a key that reaches the bound is refused with [`Reply::Full`].
+//! At most one attempt holds a key at a time. A withdrawn attempt is recorded for as long as its
+//! key, as the highest withdrawn sequence of its process, so that a delayed duplicate of its Grant
+//! is refused. At most [`MAX_WITHDRAWING_PROCESSES`] processes are recorded per key; once a key
+//! reaches that bound, a Grant from another process gets [`Reply::Full`].
 //!
-//! A caller may send a request again while an attempt of its earlier send is still on its way. Once
-//! an attempt of the later send withdrew, and the caller may have been told `not-run`, the earlier
-//! one is refused.
+//! A caller may resend a request while an attempt of an earlier send is still pending. Once an
+//! attempt of the later send has withdrawn, the caller may have been told `not-run`, so the earlier
+//! attempt is refused.
 //!
-//! A key is refused once log time reaches its creation plus the retention. The lowest accepted
-//! creation time never falls, also when the retention is raised, and a record is dropped only once
-//! its key lies below it. A dropped key is therefore never granted again.
+//! A key expires once log time reaches its creation time plus the retention. The lowest accepted
+//! creation time never decreases, even when the retention is raised, and a record is dropped only
+//! when its key was created before that time. A dropped key is therefore never granted again.
 
 mod command;
 mod ledger;
@@ -28,25 +28,25 @@
 
 use auburnbridge_types::{ByteSize, Millis};
 
-/// Time from the creation of a key until it is refused, unless a rule changes it.
+/// Time from the creation of a key until it expires, unless a rule overrides it.
 pub const DEFAULT_RETENTION: Millis = Millis(24 * 60 * 60 * 1000);
 
-/// How far a key's creation may lie ahead of log time; allows for a caller's fast clock.
-pub const MAX_CLOCK_AHEAD: Millis = Millis(5 * 60 * 1000);
+/// How far a key's creation time may be ahead of log time; allows for callers with fast clocks.
+pub const MAX_CLOCK_SKEW: Millis = Millis(5 * 60 * 1000);
 
-/// Largest answer that is stored whole.
+/// Largest answer that is stored.
 pub const MAX_ANSWER: ByteSize = ByteSize(64 * 1024);
 
-/// Number of records that a ledger holds by default.
+/// Default limit on the number of records.
 pub const DEFAULT_MAX_RECORDS: usize = 1_000_000;
 
-/// Total size of the answers that a ledger holds by default.
-pub const DEFAULT_MAX_STORED: ByteSize = ByteSize(256 * 1024 * 1024);
+/// Default limit on the total size of the stored answers.
+pub const DEFAULT_MAX_STORED_SIZE: ByteSize = ByteSize(256 * 1024 * 1024);
 
-/// Number of entry processes whose withdrawals are remembered per key.
-pub const MAX_WITHDRAWN_PROCESSES: usize = 16;
+/// Number of entry processes whose withdrawals are recorded per key.
+pub const MAX_WITHDRAWING_PROCESSES: usize = 16;
 
-/// Number of records that one command drops at most.
+/// Maximum number of expired records that one command drops.
 ///
-/// A command adds at most one record, so any number above one drains a backlog.
+/// A command adds at most one record, so any limit above one works off a backlog.
 pub const MAX_DROPS_PER_APPLY: usize = 8;
--- a/crates/auburnbridge_ledger/src/record.rs
+++ b/crates/auburnbridge_ledger/src/record.rs
@@ -1,26 +1,26 @@
-//! The state of one key.
+//! The record of one key and its state transitions.
 
 use auburnbridge_types::{AttemptId, BodyDigest, Timestamp, VmId};
 use serde::{Deserialize, Serialize};
 
-use crate::{MAX_WITHDRAWN_PROCESSES, Reply, StoredAnswer};
+use crate::{MAX_WITHDRAWING_PROCESSES, Reply, StoredAnswer};
 
 /// The state of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Record {
     pub(crate) body_digest: BodyDigest,
     pub(crate) state: State,
-    withdrawn: Vec<WithdrawnProcess>,
-    /// The latest send of the caller whose attempt withdrew, by its number of previous attempts.
-    withdrawn_send: Option<u32>,
+    withdrawn: Vec<WithdrawnAttempts>,
+    /// The caller's latest send with a withdrawn attempt, identified by its previous attempts.
+    latest_withdrawn_send: Option<u32>,
 }
 
-/// Who holds a key, or how it ended.
+/// The holder of a key, or the final outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum State {
-    /// Every earlier holder withdrew.
+    /// No attempt holds the key; all earlier holders withdrew.
     Free,
-    /// The attempt may dispatch.
+    /// The attempt may dispatch the request.
     Held {
         attempt: AttemptId,
         deadline: Timestamp,
@@ -35,28 +35,28 @@
     Abandoned { attempt: AttemptId },
 }
 
-/// The highest withdrawn sequence of one entry process.
+/// Withdrawals of one entry process; all its attempts up to `max_sequence` count as withdrawn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct WithdrawnProcess {
+struct WithdrawnAttempts {
     vm: VmId,
     boot: u64,
-    sequence: u64,
+    max_sequence: u64,
 }
 
-impl WithdrawnProcess {
-    fn is_process_of(&self, attempt: &AttemptId) -> bool {
+impl WithdrawnAttempts {
+    fn is_same_process(&self, attempt: &AttemptId) -> bool {
         self.boot == attempt.boot && self.vm == attempt.vm
     }
 }
 
 impl Record {
-    /// The record of a key that no attempt has held.
+    /// Creates the record of a key that no attempt has held.
     pub(crate) fn new(body_digest: BodyDigest) -> Self {
         Self {
             body_digest,
             state: State::Free,
             withdrawn: Vec::new(),
-            withdrawn_send: None,
+            latest_withdrawn_send: None,
         }
     }
 
@@ -67,38 +67,38 @@
         }
     }
 
-    /// Whether the attempt withdrew, or a later one of the same process did.
+    /// Whether the attempt, or a later one of the same process, has withdrawn.
     fn has_withdrawn(&self, attempt: &AttemptId) -> bool {
         self.withdrawn
             .iter()
-            .any(|process| process.is_process_of(attempt) && attempt.sequence <= process.sequence)
+            .any(|known| known.is_same_process(attempt) && attempt.sequence <= known.max_sequence)
     }
 
-    /// Whether an attempt of a later send withdrew.
-    fn has_withdrawn_after(&self, previous_attempts: Option<u32>) -> bool {
-        previous_attempts.is_some_and(|send| Some(send) < self.withdrawn_send)
+    /// Whether an attempt of a later send has withdrawn.
+    fn has_later_send_withdrawn(&self, previous_attempts: Option<u32>) -> bool {
+        previous_attempts.is_some_and(|send| Some(send) < self.latest_withdrawn_send)
     }
 
-    /// Whether a withdrawal by the attempt would fit.
-    fn can_remember(&self, attempt: &AttemptId) -> bool {
-        self.withdrawn.len() < MAX_WITHDRAWN_PROCESSES
+    /// Whether there is room to record a withdrawal of the attempt.
+    fn can_record_withdrawal(&self, attempt: &AttemptId) -> bool {
+        self.withdrawn.len() < MAX_WITHDRAWING_PROCESSES
             || self
                 .withdrawn
                 .iter()
-                .any(|process| process.is_process_of(attempt))
+                .any(|known| known.is_same_process(attempt))
     }
 
-    fn remember_withdrawn(&mut self, attempt: AttemptId) {
+    fn record_withdrawal(&mut self, attempt: AttemptId) {
         let known = self
             .withdrawn
             .iter_mut()
-            .find(|process| process.is_process_of(&attempt));
+            .find(|known| known.is_same_process(&attempt));
         match known {
-            Some(process) => process.sequence = process.sequence.max(attempt.sequence),
-            None => self.withdrawn.push(WithdrawnProcess {
+            Some(known) => known.max_sequence = known.max_sequence.max(attempt.sequence),
+            None => self.withdrawn.push(WithdrawnAttempts {
                 vm: attempt.vm,
                 boot: attempt.boot,
-                sequence: attempt.sequence,
+                max_sequence: attempt.sequence,
             }),
         }
     }
@@ -123,8 +123,8 @@
             } if *holder == attempt => Reply::Granted,
             State::Held { .. } => Reply::InProgress,
             State::Free if self.has_withdrawn(&attempt) || now >= deadline => Reply::NotHolder,
-            State::Free if self.has_withdrawn_after(previous_attempts) => Reply::NotHolder,
-            State::Free if !self.can_remember(&attempt) => Reply::Full,
+            State::Free if self.has_later_send_withdrawn(previous_attempts) => Reply::NotHolder,
+            State::Free if !self.can_record_withdrawal(&attempt) => Reply::Full,
             State::Free => {
                 self.state = State::Held {
                     attempt,
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Frees the key, unless the grant's deadline has passed: a resend may have read `Unknown`
-    /// since then, which must stay true.
+    /// Frees the key unless the grant's deadline has passed: a resend may since have got the reply
+    /// `Unknown`, which must stay true.
     pub(crate) fn withdraw(&mut self, now: Timestamp, attempt: AttemptId) -> Reply {
         if self.has_withdrawn(&attempt) {
             return Reply::Done;
@@ -151,9 +151,9 @@
                 if now >= *deadline {
                     return Reply::Unknown;
                 }
-                self.withdrawn_send = self.withdrawn_send.max(*previous_attempts);
+                self.latest_withdrawn_send = self.latest_withdrawn_send.max(*previous_attempts);
                 self.state = State::Free;
-                self.remember_withdrawn(attempt);
+                self.record_withdrawal(attempt);
                 Reply::Done
             }
             State::Answered {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Stores the holder's answer, also after the deadline.
+    /// Stores the holder's answer, even after the deadline.
     pub(crate) fn conclude(&mut self, attempt: AttemptId, answer: StoredAnswer) -> Reply {
         match &self.state {
             State::Held {
--- a/crates/auburnbridge_ledger/src/snapshot.rs
+++ b/crates/auburnbridge_ledger/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of a ledger, with a format version.
+//! Versioned snapshots of a ledger.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,25 +9,25 @@
 use crate::record::Record;
 use crate::{Ledger, LedgerKey, Limits};
 
-/// Version of the snapshot format, which stands first in a snapshot.
+/// Version of the snapshot format, which is the first field of a snapshot.
 pub const SNAPSHOT_VERSION: u16 = 1;
 
 /// Reason why a snapshot can't be restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestoreError {
     /// The format version is not [`SNAPSHOT_VERSION`].
-    Version {
-        /// The version that the snapshot names.
+    UnsupportedVersion {
+        /// The version of the snapshot.
         found: u16,
     },
-    /// The bytes are not a snapshot.
+    /// The bytes are not a valid snapshot.
     Malformed,
 }
 
 impl fmt::Display for RestoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Version { found } => write!(
+            Self::UnsupportedVersion { found } => write!(
                 f,
                 "the ledger snapshot has format version {found}, this build reads version \
                  {SNAPSHOT_VERSION}; start a build that reads version {found}"
@@ -40,36 +40,37 @@
 impl std::error::Error for RestoreError {}
 
 #[derive(Serialize)]
-struct StateRef<'a> {
+struct SnapshotRef<'a> {
     limits: &'a Limits,
     now: Timestamp,
     retention: Millis,
-    accepted_from: Timestamp,
+    expiry_cutoff: Timestamp,
     records: &'a BTreeMap<LedgerKey, Record>,
 }
 
 #[derive(Deserialize)]
-struct State {
+struct Snapshot {
     limits: Limits,
     now: Timestamp,
     retention: Millis,
-    accepted_from: Timestamp,
+    expiry_cutoff: Timestamp,
     records: BTreeMap<LedgerKey, Record>,
 }
 
 impl Ledger {
-    /// Encodes the whole state; equal ledgers have equal snapshots.
+    /// Encodes the complete state; equal ledgers have equal snapshots.
     pub fn snapshot(&self) -> Vec<u8> {
-        let state = StateRef {
+        let state = SnapshotRef {
             limits: &self.limits,
             now: self.now,
             retention: self.retention,
-            accepted_from: self.accepted_from,
+            expiry_cutoff: self.expiry_cutoff,
             records: &self.records,
         };
-        // Encoding into a growing buffer fails only for types without a known length, and the
-        // state has none.
-        postcard::to_stdvec(&(SNAPSHOT_VERSION, state)).expect("the state has an encoding")
+        // Encoding into a growing buffer fails only for sequences of unknown length, and the state
+        // has none.
+        postcard::to_stdvec(&(SNAPSHOT_VERSION, state))
+            .expect("the ledger state should be encodable")
     }
 
     /// Decodes a snapshot.
@@ -77,23 +78,23 @@
         let malformed = |_| RestoreError::Malformed;
         let (found, rest) = postcard::take_from_bytes::<u16>(snapshot).map_err(malformed)?;
         if found != SNAPSHOT_VERSION {
-            return Err(RestoreError::Version { found });
+            return Err(RestoreError::UnsupportedVersion { found });
         }
-        let (state, rest) = postcard::take_from_bytes::<State>(rest).map_err(malformed)?;
+        let (state, rest) = postcard::take_from_bytes::<Snapshot>(rest).map_err(malformed)?;
         if !rest.is_empty() {
             return Err(RestoreError::Malformed);
         }
-        let stored = state.records.values().map(Record::stored_bytes).sum();
-        if stored > state.limits.max_stored.0 {
+        let stored_bytes = state.records.values().map(Record::stored_bytes).sum();
+        if stored_bytes > state.limits.max_stored.0 {
             return Err(RestoreError::Malformed);
         }
         Ok(Self {
             limits: state.limits,
             now: state.now,
             retention: state.retention,
-            accepted_from: state.accepted_from,
+            expiry_cutoff: state.expiry_cutoff,
             records: state.records,
-            stored: ByteSize(stored),
+            stored_size: ByteSize(stored_bytes),
         })
     }
 }
--- a/crates/auburnbridge_ledger/tests/ledger.rs
+++ b/crates/auburnbridge_ledger/tests/ledger.rs
@@ -1,9 +1,9 @@
-//! Guards the rules of grants, with a table of cases and with random schedules.
+//! Tests of the grant rules, with fixed command sequences and with random ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use auburnbridge_ledger::{
-    Command, Ledger, LedgerKey, Limits, MAX_CLOCK_AHEAD, MAX_WITHDRAWN_PROCESSES, Reply,
+    Command, Ledger, LedgerKey, Limits, MAX_CLOCK_SKEW, MAX_WITHDRAWING_PROCESSES, Reply,
     RestoreError, SNAPSHOT_VERSION, StoredAnswer,
 };
 use auburnbridge_types::{AttemptId, BodyDigest, ByteSize, IdempotencyKey, Millis, Timestamp};
@@ -37,13 +37,13 @@
     }
 }
 
-fn resend(key: &LedgerKey, attempt: &AttemptId, sends_before: u32) -> Command {
+fn resend(key: &LedgerKey, attempt: &AttemptId, previous_attempts: u32) -> Command {
     Command::Grant {
         key: key.clone(),
         body_digest: BodyDigest([1; 32]),
         attempt: attempt.clone(),
         deadline: START.after(Millis(100)),
-        previous_attempts: Some(sends_before),
+        previous_attempts: Some(previous_attempts),
     }
 }
 
@@ -69,9 +69,9 @@
     }
 }
 
-/// Guards against a key that is granted twice, freed by the wrong attempt, or loses its answer.
+/// Guards against a key that is granted twice, is freed by the wrong attempt or loses its answer.
 #[test]
-fn table_of_grants() {
+fn commands_get_expected_replies() {
     let (k, a, b) = (key(START, 1), attempt(1, 1), attempt(2, 1));
     let other_body = Command::Grant {
         key: k.clone(),
@@ -87,7 +87,7 @@
         attempt: a.clone(),
         answer: StoredAnswer::Whole(large.into()),
     };
-    // Each step is the time after the start, the command and its reply.
+    // Each step holds the time since the start in ms, the command and the expected reply.
     let cases = [
         (
             "repeated and competing grants",
@@ -99,7 +99,7 @@
             ],
         ),
         (
-            "withdrawals that are foreign, duplicated or late",
+            "withdrawals by another attempt, duplicated or late",
             vec![
                 (0, withdraw(&k, &a), Reply::NotHolder),
                 (0, grant(&k, &a, 100), Reply::Granted),
@@ -127,7 +127,7 @@
             ],
         ),
         (
-            "abandoned for good",
+            "an abandoned key stays blocked",
             vec![
                 (0, grant(&k, &a, 100), Reply::Granted),
                 (1, abandon(&k, &b), Reply::NotHolder),
@@ -166,10 +166,10 @@
     }
 }
 
-/// Guards against a grant of an earlier send that arrives after a later send withdrew and its
-/// caller was told `not-run`.
+/// Guards against granting an earlier send that arrives after a later send has withdrawn and the
+/// caller has been told `not-run`.
 #[test]
-fn later_send_fences_earlier_ones() {
+fn withdrawn_later_send_fences_earlier_send() {
     let k = key(START, 1);
     let (first, second, third) = (attempt(1, 1), attempt(2, 1), attempt(3, 1));
     let mut ledger = Ledger::default();
@@ -181,32 +181,42 @@
     assert_eq!(apply(resend(&k, &third, 2)), Reply::Granted);
 }
 
-/// Guards against a key that runs again after its record was dropped, whatever the retention does.
+/// Guards against granting a key again after its record was dropped, when the retention is raised
+/// or lowered.
 #[test]
-fn dropped_key_stays_refused_after_changes_of_retention() {
-    let (old, young) = (key(START, 1), key(START.after(Millis(40)), 2));
+fn dropped_key_stays_refused_after_retention_changes() {
+    let (older, newer) = (key(START, 1), key(START.after(Millis(40)), 2));
     let mut ledger = Ledger::default();
     let mut apply = |at, command| ledger.apply(START.after(Millis(at)), command);
     apply(0, Command::SetRetention(Millis(100)));
-    assert_eq!(apply(50, grant(&old, &attempt(1, 1), 500)), Reply::Granted);
     assert_eq!(
-        apply(50, grant(&young, &attempt(1, 2), 500)),
+        apply(50, grant(&older, &attempt(1, 1), 500)),
         Reply::Granted
     );
-    assert_eq!(apply(100, grant(&old, &attempt(1, 3), 500)), Reply::Expired);
+    assert_eq!(
+        apply(50, grant(&newer, &attempt(1, 2), 500)),
+        Reply::Granted
+    );
+    assert_eq!(
+        apply(100, grant(&older, &attempt(1, 3), 500)),
+        Reply::Expired
+    );
     apply(101, Command::SetRetention(Millis(1_000)));
-    assert_eq!(apply(102, grant(&old, &attempt(1, 4), 500)), Reply::Expired);
     assert_eq!(
-        apply(103, grant(&young, &attempt(1, 5), 500)),
+        apply(102, grant(&older, &attempt(1, 4), 500)),
+        Reply::Expired
+    );
+    assert_eq!(
+        apply(103, grant(&newer, &attempt(1, 5), 500)),
         Reply::InProgress
     );
     apply(104, Command::SetRetention(Millis(10)));
     apply(105, Command::SetRetention(Millis(1_000)));
     assert_eq!(
-        apply(106, grant(&young, &attempt(1, 6), 500)),
+        apply(106, grant(&newer, &attempt(1, 6), 500)),
         Reply::Expired
     );
-    let ahead = |by| key(START.after(Millis(107 + MAX_CLOCK_AHEAD.0 + by)), 3);
+    let ahead = |by| key(START.after(Millis(107 + MAX_CLOCK_SKEW.0 + by)), 3);
     assert_eq!(
         apply(107, grant(&ahead(1), &attempt(1, 7), 500)),
         Reply::Expired
@@ -218,7 +228,8 @@
     assert_eq!(ledger.len(), 1);
 }
 
-/// Guards against unbounded memory, and against a full ledger that forgets that a request ran.
+/// Guards against unbounded memory, and against a full ledger that does not record that a request
+/// ran.
 #[test]
 fn limits_refuse_new_keys() {
     let mut ledger = Ledger::new(Limits {
@@ -235,15 +246,16 @@
     assert_eq!(apply(conclude(&b, &holder, b"x")), Reply::Done);
     let not_kept = Reply::Answered(StoredAnswer::NotKept);
     assert_eq!(apply(grant(&b, &attempt(1, 2), 9)), not_kept);
-    assert_eq!(ledger.stored(), ByteSize(4));
+    assert_eq!(ledger.stored_size(), ByteSize(4));
 }
 
-/// Guards against a withdrawn attempt that is granted again once too many have withdrawn.
+/// Guards against granting a withdrawn attempt again because its entry was evicted in favour of the
+/// withdrawals of other processes.
 #[test]
-fn withdrawals_are_remembered_up_to_a_bound() {
+fn full_withdrawal_record_refuses_further_processes() {
     let mut ledger = Ledger::default();
     let k = key(START, 1);
-    for boot in 0..MAX_WITHDRAWN_PROCESSES as u64 {
+    for boot in 0..MAX_WITHDRAWING_PROCESSES as u64 {
         for sequence in 1..4 {
             let attempt = attempt(boot, sequence);
             assert_eq!(ledger.apply(START, grant(&k, &attempt, 9)), Reply::Granted);
@@ -260,9 +272,9 @@
     );
 }
 
-/// Guards against reading a snapshot of another format or a damaged one.
+/// Guards against restoring a corrupt snapshot or one of another format version.
 #[test]
-fn foreign_snapshots_are_rejected() {
+fn invalid_snapshots_are_refused() {
     let mut snapshot = Ledger::default().snapshot();
     assert_eq!(Ledger::restore(&snapshot), Ok(Ledger::default()));
     let malformed = Err(RestoreError::Malformed);
@@ -273,13 +285,13 @@
     let found = SNAPSHOT_VERSION + 1;
     assert_eq!(
         Ledger::restore(&snapshot),
-        Err(RestoreError::Version { found })
+        Err(RestoreError::UnsupportedVersion { found })
     );
 }
 
 fn command() -> impl Strategy<Value = Command> {
     let k = (0..3u64).prop_map(|at| key(START.after(Millis(at * 40)), 1));
-    // The boots stand for several entries.
+    // Distinct boot numbers represent distinct entry processes.
     let a = (0..3u64, 0..3u64).prop_map(|(boot, sequence)| attempt(boot, sequence));
     (k, a, 0..52u8, 0..1_000u64).prop_map(|(k, a, kind, number)| match kind {
         0..12 => grant(&k, &a, number),
@@ -291,19 +303,20 @@
     })
 }
 
-/// What a schedule has shown about one key.
+/// What the replies so far imply about one key.
 #[derive(Default)]
 struct Observed {
     holder: Option<AttemptId>,
     withdrawn: BTreeSet<AttemptId>,
-    /// Send of the holder, and the latest send that withdrew.
+    /// The send of the holder.
     held_send: Option<u32>,
-    withdrawn_send: Option<u32>,
+    /// The latest send that withdrew.
+    latest_withdrawn_send: Option<u32>,
     concluded: bool,
 }
 
-/// The seed is fixed, so that each run gives the same verdict.
-fn schedules() -> ProptestConfig {
+/// The seed is fixed so that every run tests the same cases.
+fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         cases: 512,
         rng_seed: RngSeed::Fixed(1),
@@ -313,13 +326,13 @@
 }
 
 proptest! {
-    #![proptest_config(schedules())]
+    #![proptest_config(proptest_config())]
 
-    /// Guards against two holders of a key without a withdrawal between them, a withdrawn or
-    /// concluded attempt that is granted, and replies that a restart from a snapshot changes.
-    /// A command that comes again later stands for a duplicate, and any order for reordering.
+    /// Guards against two holders of a key without a withdrawal between them, against granting a
+    /// withdrawn or concluded attempt, and against replies that differ after a restart from a
+    /// snapshot. Repeated commands model duplicates, and their random order models reordering.
     #[test]
-    fn one_holder_at_a_time(
+    fn key_has_at_most_one_holder(
         commands in prop::collection::vec((command(), 0..6u64, any::<bool>()), 1..200),
     ) {
         let limits = Limits { max_records: 2, max_stored: ByteSize(3) };
@@ -334,7 +347,7 @@
             let reply = ledger.apply(now, command.clone());
             prop_assert_eq!(&reply, &restarted.apply(now, command.clone()));
             prop_assert!(ledger.len() <= limits.max_records);
-            prop_assert!(ledger.stored() <= limits.max_stored);
+            prop_assert!(ledger.stored_size() <= limits.max_stored);
             match (command, reply) {
                 (Command::Grant { key, attempt, deadline, previous_attempts, .. }, Reply::Granted) => {
                     let seen = observed.entry(key).or_default();
@@ -344,7 +357,7 @@
                     if seen.holder.is_none() {
                         seen.held_send = previous_attempts;
                         let send = previous_attempts.unwrap_or(u32::MAX);
-                        prop_assert!(Some(send) >= seen.withdrawn_send);
+                        prop_assert!(Some(send) >= seen.latest_withdrawn_send);
                     }
                     let holder = seen.holder.get_or_insert_with(|| attempt.clone());
                     prop_assert_eq!(&*holder, &attempt);
@@ -354,7 +367,7 @@
                     if seen.holder.as_ref() == Some(&attempt) {
                         prop_assert!(!seen.concluded);
                         seen.holder = None;
-                        seen.withdrawn_send = seen.withdrawn_send.max(seen.held_send);
+                        seen.latest_withdrawn_send = seen.latest_withdrawn_send.max(seen.held_send);
                     }
                     seen.withdrawn.insert(attempt);
                 }
