--- a/crates/auburnbridge_config/examples/config_cost.rs
+++ b/crates/auburnbridge_config/examples/config_cost.rs
@@ -1,5 +1,5 @@
-//! Prints the time of an edit, a delta and a snapshot, and the size of a snapshot, for a file of
-//! 86k lines.
+//! Measures the time of edits, deltas and snapshots, and the size of a snapshot, for a rules file
+//! of 86k lines.
 
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -14,33 +14,35 @@
 fn main() {
     let mut config = Config::default();
     let mut copy = RulesCopy::default();
-    let (replaced, ()) = timed(|| apply(&mut config, 0, Change::ReplaceAll(rules_text())));
-    let (whole, ()) = timed(|| follow(&config, &mut copy));
-    let (mut edits, mut deltas) = (Duration::ZERO, Duration::ZERO);
+    let (replace_time, ()) = timed(|| apply(&mut config, 0, Change::ReplaceAll(rules_text())));
+    let (full_delta_time, ()) = timed(|| update_copy(&config, &mut copy));
+    let (mut edit_time, mut delta_time) = (Duration::ZERO, Duration::ZERO);
     for number in 1..=EDITS {
         let text = format!("route GET /shelf-{number}/* to stock once # asked by Meera");
         let set_line = Change::SetLine {
             replaces: None,
             text,
         };
-        edits += timed(|| apply(&mut config, number, set_line)).0;
-        deltas += timed(|| follow(&config, &mut copy)).0;
+        edit_time += timed(|| apply(&mut config, number, set_line)).0;
+        delta_time += timed(|| update_copy(&config, &mut copy)).0;
     }
     let mut text = config.rules().text().to_string();
     text.push_str("keys remember 48h # asked by Meera\n");
-    let (resent, ()) = timed(|| apply(&mut config, EDITS + 1, Change::ReplaceAll(text)));
-    let (written, snapshot) = timed(|| config.snapshot());
-    let (read, restored) = timed(|| Config::restore(&snapshot));
+    let (resend_time, ()) = timed(|| apply(&mut config, EDITS + 1, Change::ReplaceAll(text)));
+    let (snapshot_time, snapshot) = timed(|| config.snapshot());
+    let (restore_time, restored) = timed(|| Config::restore(&snapshot));
     assert_eq!(
         restored.map(|config| config.revision()),
         Ok(config.revision())
     );
     println!(
-        "{LINES} lines: replace the file {replaced:?}, apply it on an entry {whole:?}; \
-         resend it with one more line {resent:?}; edit of one line {:?}, its delta on an entry {:?}; \
-         snapshot of {} bytes written in {written:?}, restored in {read:?}",
-        edits / EDITS,
-        deltas / EDITS,
+        "{LINES} lines: replace the file {replace_time:?}, \
+         apply it on an entry {full_delta_time:?}; \
+         resend it with one more line {resend_time:?}; \
+         edit of one line {:?}, its delta on an entry {:?}; \
+         snapshot of {} bytes written in {snapshot_time:?}, restored in {restore_time:?}",
+        edit_time / EDITS,
+        delta_time / EDITS,
         snapshot.len(),
     );
 }
@@ -50,7 +52,7 @@
     random[6..].copy_from_slice(&number.to_le_bytes());
     let edit = Edit {
         id: IdempotencyKey::from_parts(NOW, random).into(),
-        author: "Meera".parse().expect("a valid author"),
+        author: "Meera".parse().expect("the author name should be valid"),
         expected: None,
         change,
     };
@@ -58,14 +60,14 @@
     assert!(matches!(reply, EditReply::Accepted { .. }), "{reply:?}");
 }
 
-fn follow(config: &Config, copy: &mut RulesCopy) {
+fn update_copy(config: &Config, copy: &mut RulesCopy) {
     let delta = config.delta_since(copy.revision());
     assert_eq!(copy.apply_delta(&delta), Ok(true));
 }
 
-fn timed<T>(work: impl FnOnce() -> T) -> (Duration, T) {
+fn timed<T>(f: impl FnOnce() -> T) -> (Duration, T) {
     let started = Instant::now();
-    let result = work();
+    let result = f();
     (started.elapsed(), result)
 }
 
@@ -76,7 +78,7 @@
             text,
             "route GET /shelf-{number}/* to stock idempotent timeout 2s # asked by Meera"
         )
-        .expect("writing to a string succeeds");
+        .expect("writing to a string should succeed");
     }
     text
 }
--- a/crates/auburnbridge_config/src/change.rs
+++ b/crates/auburnbridge_config/src/change.rs
@@ -1,20 +1,20 @@
-//! Changes of the rules and their effect on a text.
+//! Changes to the rules and their application to a text.
 
 use auburnbridge_rules::{LineEdit, LineKey, RuleError, Rules, file_lines};
 use serde::{Deserialize, Serialize};
 
 use crate::edit::EditReply;
-use crate::line_difference::line_edits;
+use crate::line_diff::diff_lines;
 
 /// What an edit changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// Puts another file in place of the whole one.
+    /// Replaces the whole file.
     ReplaceAll(String),
     /// Sets one line.
     SetLine {
-        /// The line to replace; without it, the line with the same key is replaced, or the new
-        /// line is appended when there is none.
+        /// The line to replace; if `None`, the line with the same key is replaced, or the new line
+        /// is appended if there is none.
         replaces: Option<LineSelector>,
         /// The new line, without a line feed.
         text: String,
@@ -26,17 +26,17 @@
     },
 }
 
-/// How an edit names a line.
+/// Selects a line of the rules text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LineSelector {
-    /// By its first words, whatever the rest of it says.
+    /// By its leading words, regardless of the rest of the line.
     Key(LineKey),
-    /// By its whole text, apart from the spaces around it.
+    /// By its whole text, ignoring leading and trailing white space.
     Text(String),
 }
 
 impl LineSelector {
-    /// Number of the first line that matches, counted from 1.
+    /// Number of the first matching line, counted from 1.
     fn find(&self, text: &str) -> Option<u32> {
         match self {
             Self::Key(key) => key.find(text),
@@ -53,14 +53,14 @@
 pub struct ChangedRules {
     /// The new rules.
     pub rules: Rules,
-    /// The edits that lead there from the old text; `None` when they would be too many.
+    /// The edits that turn the old text into the new one; `None` if there are too many for a delta.
     pub edits: Option<Vec<LineEdit>>,
 }
 
 /// Reason why a change can't be applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeRefusal {
-    /// The rules would not be valid.
+    /// The resulting rules would be invalid.
     Invalid(Vec<RuleError>),
     /// No line matches.
     NoSuchLine,
@@ -76,7 +76,7 @@
 }
 
 impl Change {
-    /// Applies the change to `rules`, which stay as they are.
+    /// Returns the rules that result from applying the change to `rules`.
     pub fn apply_to(&self, rules: &Rules) -> Result<ChangedRules, ChangeRefusal> {
         let edits = match self {
             Self::ReplaceAll(text) => return replace_all(rules, text),
@@ -93,7 +93,7 @@
         })
     }
 
-    /// One line for the history.
+    /// Summary of the change in one line, for the history.
     pub(crate) fn summary(&self, changed: &ChangedRules) -> String {
         match self {
             Self::ReplaceAll(_) => replacement_summary(changed),
@@ -112,14 +112,15 @@
     }
 }
 
-/// A text in force ends in a line feed, as line edits leave it; a missing one is added.
+/// Replaces the whole text; adds a missing final line feed, as line edits do.
 fn replace_all(rules: &Rules, text: &str) -> Result<ChangedRules, ChangeRefusal> {
     let mut text = text.to_owned();
     if !text.is_empty() && !text.ends_with('\n') {
         text.push('\n');
     }
-    let edits = line_edits(rules.text(), &text);
-    // An operator who sends the whole file has mostly changed a few lines of it.
+    let edits = diff_lines(rules.text(), &text);
+    // Operators who send the whole file have usually changed only a few lines, and applying those
+    // is cheaper than parsing the file.
     let rules = match &edits {
         Some(edits) => rules.edited(edits),
         None => Rules::parse(&text),
@@ -156,7 +157,7 @@
 
 fn after_last_line(text: &str) -> u32 {
     let lines = u32::try_from(file_lines(text).count());
-    lines.expect("the size of a file bounds its lines") + 1
+    lines.expect("the maximum file size keeps the line count within u32") + 1
 }
 
 fn replacement_summary(changed: &ChangedRules) -> String {
--- a/crates/auburnbridge_config/src/config.rs
+++ b/crates/auburnbridge_config/src/config.rs
@@ -1,4 +1,4 @@
-//! The state machine.
+//! The state machine of the rules.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,46 +9,46 @@
 
 use crate::delta::Delta;
 use crate::edit::{Edit, EditReply};
-use crate::edit_ids::{EditIds, SeenEdit};
 use crate::history::{HistoryEntry, MAX_HISTORY};
 use crate::rules_copy::RulesCopy;
+use crate::seen_edits::{SeenEdit, SeenEdits};
 
-/// Rules, revision, edit ids and history; the same on every keeper after the same log entries.
+/// Rules, revision, seen edits and history; identical on all keepers after the same log entries.
 ///
-/// Whether an edit is accepted depends on the grammar, so keepers that run programs with different
-/// grammars could reply differently to the same log entry.
+/// Whether an edit is accepted depends on the grammar of the rules, so keepers that run programs with
+/// different grammars could reply differently to the same log entry.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
     pub(crate) copy: RulesCopy,
-    pub(crate) ids: EditIds,
+    pub(crate) seen_edits: SeenEdits,
     pub(crate) history: VecDeque<HistoryEntry>,
 }
 
 impl Config {
-    /// Applies an edit at `now`, the time of its log entry.
+    /// Applies an edit at `now`, the timestamp of its log entry.
     pub fn apply(&mut self, now: Timestamp, edit: Edit) -> EditReply {
-        let digest = digest_of(&edit);
-        if let Some(seen) = self.ids.get(edit.id) {
+        let digest = edit_digest(&edit);
+        if let Some(seen) = self.seen_edits.get(edit.id) {
             return if seen.digest == digest {
                 EditReply::Repeated(Box::new(seen.reply.clone()))
             } else {
                 EditReply::IdReused
             };
         }
-        if !EditIds::is_new(now, edit.id) {
+        if !SeenEdits::is_in_window(now, edit.id) {
             return EditReply::IdExpired;
         }
-        if !self.ids.make_room(now) {
+        if !self.seen_edits.make_room(now) {
             return EditReply::TooManyEdits;
         }
         let id = edit.id;
         let reply = self.apply_new(now, edit);
         let seen = SeenEdit {
-            time: now,
+            seen_at: now,
             digest,
             reply: reply.clone(),
         };
-        self.ids.insert(id, seen);
+        self.seen_edits.insert(id, seen);
         reply
     }
 
@@ -72,12 +72,12 @@
         self.history.iter()
     }
 
-    /// What an entry at `revision` needs.
+    /// The delta that brings an entry at `revision` up to date.
     pub fn delta_since(&self, revision: Revision) -> Delta {
         self.copy.delta_since(revision)
     }
 
-    /// The whole text, for an entry that refused a delta because of a digest.
+    /// A delta with the whole text, for an entry that refused a delta due to a digest mismatch.
     pub fn whole(&self) -> Delta {
         self.copy.whole()
     }
@@ -106,8 +106,8 @@
     }
 }
 
-/// Digest by which an id that comes with another edit is recognized.
-fn digest_of(edit: &Edit) -> [u8; 32] {
-    let bytes = postcard::to_stdvec(edit).expect("an edit can be encoded");
+/// Digest that detects an id that is reused for a different edit.
+fn edit_digest(edit: &Edit) -> [u8; 32] {
+    let bytes = postcard::to_stdvec(edit).expect("an edit should be encodable");
     Sha256::digest(bytes).into()
 }
--- a/crates/auburnbridge_config/src/delta.rs
+++ b/crates/auburnbridge_config/src/delta.rs
@@ -1,4 +1,4 @@
-//! Differences between revisions, for entries that follow.
+//! Deltas between revisions, which keep the rules of entries up to date.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,26 +7,26 @@
 use auburnbridge_types::Revision;
 use serde::{Deserialize, Serialize};
 
-/// Largest number of line edits in one delta; a longer one costs more to apply than a whole file.
+/// Maximum number of line edits in one delta; more would cost more to apply than a whole file.
 pub const MAX_DELTA_EDITS: usize = 256;
 
-/// Largest size of the edits that are kept for deltas, in bytes.
+/// Maximum total size of the edits that are kept for deltas.
 const MAX_KEPT_BYTES: usize = 1 << 20;
 
-/// Sizes of a kept step and of a kept edit beside its text, in bytes. They are constants, since
-/// every keeper must drop the same steps whatever its compiler's layout of the types.
-const STEP_BYTES: usize = 64;
-const EDIT_BYTES: usize = 40;
+/// Assumed sizes of a kept step and of a kept edit without its text. They are fixed because all
+/// keepers must drop the same steps, whatever memory layout the compiler gives the types.
+const STEP_OVERHEAD_BYTES: usize = 64;
+const EDIT_OVERHEAD_BYTES: usize = 40;
 
-/// What an entry at some revision needs to reach the one in force.
+/// Update from the revision of an entry to the one in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Delta {
-    /// The entry has the revision in force, or a higher one.
+    /// The entry already has the revision in force, or a higher one.
     Current {
         /// The revision in force at the sender.
         revision: Revision,
     },
-    /// Edits to the entry's text.
+    /// Line edits to the entry's text.
     Lines {
         /// The entry's revision.
         base: Revision,
@@ -36,7 +36,7 @@
         revision: Revision,
         /// Digest of the text after the edits.
         digest: TextDigest,
-        /// The edits, one after the other.
+        /// The edits, each relative to the text after the previous one.
         edits: Vec<LineEdit>,
     },
     /// The whole text.
@@ -51,7 +51,7 @@
 }
 
 impl Delta {
-    /// The revision to which the delta leads.
+    /// The revision after applying the delta.
     pub fn revision(&self) -> Revision {
         match self {
             Self::Current { revision }
@@ -61,14 +61,14 @@
     }
 }
 
-/// Recent steps between revisions, oldest first.
+/// Recent steps between successive revisions, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct DeltaLog {
     steps: VecDeque<Step>,
     bytes: usize,
 }
 
-/// One step; the base of each step is the revision of the one before it.
+/// Edits from one revision to the next; `base` is the revision that the previous step produced.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Step {
     base: Revision,
@@ -80,16 +80,16 @@
     fn bytes(&self) -> usize {
         let edits = self.edits.iter().map(|edit| match edit {
             LineEdit::Replace { text, .. } | LineEdit::Insert { text, .. } => {
-                text.len() + EDIT_BYTES
+                text.len() + EDIT_OVERHEAD_BYTES
             }
-            LineEdit::Remove { .. } => EDIT_BYTES,
+            LineEdit::Remove { .. } => EDIT_OVERHEAD_BYTES,
         });
-        edits.sum::<usize>() + STEP_BYTES
+        edits.sum::<usize>() + STEP_OVERHEAD_BYTES
     }
 }
 
 impl DeltaLog {
-    /// Keeps a step; a step without edits can't be sent as lines and ends the chain before it.
+    /// Appends a step. A step without edits can't be sent as line edits, so it clears the log.
     pub(crate) fn push(
         &mut self,
         base: Revision,
@@ -118,7 +118,7 @@
         self.bytes = 0;
     }
 
-    /// Digest and edits that lead from `base` to the newest revision.
+    /// Digest of `base` and the edits from `base` to the latest revision, if kept and few enough.
     pub(crate) fn since(&self, base: Revision) -> Option<(TextDigest, Vec<LineEdit>)> {
         let first = self
             .steps
--- a/crates/auburnbridge_config/src/edit.rs
+++ b/crates/auburnbridge_config/src/edit.rs
@@ -1,4 +1,4 @@
-//! Edits and their replies.
+//! Edits to the rules, and the replies.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,17 +10,17 @@
 
 use crate::change::Change;
 
-/// Errors that a reply lists; `auburnbridge check` lists all of them.
+/// Maximum number of errors that a reply lists; `auburnbridge check` lists all of them.
 pub const MAX_REPLY_ERRORS: usize = 1_000;
 
 const MAX_AUTHOR_BYTES: usize = 64;
 
-/// Identity of an edit across resends: a UUID version 7, which holds its time of creation.
+/// Identity of an edit across resends: a UUID version 7, which contains its creation time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EditId(IdempotencyKey);
 
 impl EditId {
-    /// Time at which the operator made the id.
+    /// Time at which the operator created the id.
     pub fn created(&self) -> Timestamp {
         self.0.created()
     }
@@ -83,23 +83,23 @@
     }
 }
 
-/// A command of the replicated log.
+/// An edit to the rules, as stored in the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
     /// Identity of the edit across resends.
     pub id: EditId,
-    /// Operator who sent it.
+    /// Operator who sent the edit.
     pub author: Author,
-    /// Revision to which the operator made the edit; `None` applies it to any revision.
+    /// Revision on which the operator based the edit; `None` applies it to any revision.
     pub expected: Option<Revision>,
-    /// What changes.
+    /// The change to the rules.
     pub change: Change,
 }
 
 /// Reply to an edit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EditReply {
-    /// The edit made this revision.
+    /// The edit was applied.
     Accepted {
         /// The new revision.
         revision: Revision,
@@ -109,27 +109,27 @@
         /// The revision in force.
         current: Revision,
     },
-    /// The rules would not be valid.
+    /// The resulting rules would be invalid.
     Invalid {
-        /// Every error, up to [`MAX_REPLY_ERRORS`].
+        /// The first [`MAX_REPLY_ERRORS`] errors.
         errors: Vec<RuleError>,
         /// Number of errors that are not listed.
         omitted: u32,
     },
-    /// No line matches the line to be changed.
+    /// No line matches the selector.
     NoSuchLine,
-    /// The id was seen before and the first reply was this one.
+    /// The edit is a resend; contains the first reply.
     Repeated(Box<EditReply>),
-    /// The id was seen before with another edit.
+    /// The id was used before for a different edit.
     IdReused,
-    /// The id's creation time is outside the window in which ids are remembered.
+    /// The creation time of the id is outside the window of accepted ids.
     IdExpired,
-    /// Too many ids of the last 24 h are remembered; the edit may be sent again later.
+    /// Too many ids were seen in the last 24 h; the edit may be resent later.
     TooManyEdits,
 }
 
 impl EditReply {
-    /// A reply with the errors that fit.
+    /// Creates an `Invalid` reply with at most [`MAX_REPLY_ERRORS`] errors.
     pub(crate) fn invalid(mut errors: Vec<RuleError>) -> Self {
         let omitted = errors.len().saturating_sub(MAX_REPLY_ERRORS);
         errors.truncate(MAX_REPLY_ERRORS);
--- a/crates/auburnbridge_config/src/history.rs
+++ b/crates/auburnbridge_config/src/history.rs
@@ -1,22 +1,22 @@
-//! Who changed what and when.
+//! The history of accepted edits.
 
 use auburnbridge_types::{Revision, Timestamp};
 use serde::{Deserialize, Serialize};
 
 use crate::edit::Author;
 
-/// Largest number of entries; about a day at 11,000 edits a day.
+/// Maximum number of history entries; about a day at 11,000 edits a day.
 pub const MAX_HISTORY: usize = 10_000;
 
 /// One accepted edit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// The revision that the edit made.
+    /// The revision that the edit produced.
     pub revision: Revision,
     /// Log time of the edit.
     pub time: Timestamp,
-    /// Operator who sent it.
+    /// Operator who sent the edit.
     pub author: Author,
-    /// What it changed.
+    /// Summary of the change.
     pub summary: String,
 }
--- a/crates/auburnbridge_config/src/lib.rs
+++ b/crates/auburnbridge_config/src/lib.rs
@@ -1,33 +1,34 @@
-//! The replicated state machine that holds the rules and their revisions.
+//! Replicated state machines for the rules and for the published configuration document.
 //!
-//! Keepers apply [`Edit`]s in the order of the log, so that every keeper holds the same revision,
-//! text and replies. An entry follows with a [`RulesCopy`], which takes [`Delta`]s and never goes
-//! back to a lower revision. Nothing here reads a clock: time is the log's.
+//! Keepers apply [`Edit`]s in log order, so that every keeper has the same revision and text and
+//! gives the same replies. An entry maintains a [`RulesCopy`], which applies [`Delta`]s and never
+//! returns to a lower revision. No code here reads a clock; it uses log time, the timestamps of the
+//! log entries.
 //!
-//! An edit runs at most once. Its id is a UUID version 7, whose creation time bounds how long the
-//! id must be remembered: an id that is remembered gets its first reply again, and one that is too
-//! old to be remembered with certainty is refused as expired.
+//! An edit is applied at most once. Its id is a UUID version 7, whose creation time limits how long
+//! the id must be kept: a resend with a kept id gets the first reply again, and an id so old that
+//! it may already have been dropped is refused as expired.
 //!
-//! Beside the rules stands a [`Published`] document of opaque format, for platforms whose operators
-//! send whole configurations with versions of their own.
+//! In addition to the rules, [`Published`] holds a document of opaque format, for platforms whose
+//! operators send whole configurations with version numbers of their own.
 
 mod change;
 mod config;
 mod delta;
 mod edit;
-mod edit_ids;
 mod history;
-mod line_difference;
+mod line_diff;
 mod published;
 mod rules_copy;
+mod seen_edits;
 mod snapshot;
 
 pub use change::{Change, ChangeRefusal, ChangedRules, LineSelector};
 pub use config::Config;
 pub use delta::{Delta, MAX_DELTA_EDITS};
 pub use edit::{Author, Edit, EditId, EditReply, MAX_REPLY_ERRORS};
-pub use edit_ids::{EDIT_ID_RETENTION, MAX_EDIT_IDS, MAX_KEPT_ERROR_BYTES};
 pub use history::{HistoryEntry, MAX_HISTORY};
 pub use published::{Publish, PublishReply, Published};
 pub use rules_copy::{DeltaError, RulesCopy};
+pub use seen_edits::{EDIT_ID_RETENTION, MAX_EDIT_IDS, MAX_KEPT_ERROR_BYTES};
 pub use snapshot::SnapshotError;
--- a/crates/auburnbridge_config/src/published.rs
+++ b/crates/auburnbridge_config/src/published.rs
@@ -1,4 +1,4 @@
-//! The published configuration: one whole document, of which the highest version is in force.
+//! The published configuration document, of which the highest version is in force.
 
 use std::sync::Arc;
 
@@ -6,42 +6,47 @@
 use serde::{Deserialize, Serialize};
 use strum::{Display, IntoStaticStr};
 
-/// A document with its version. Clones share the document.
+/// A configuration document with its version; also the command that publishes it.
+///
+/// Clones share the document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publish {
     /// Version of the document.
     pub version: ConfigVersion,
-    /// The document; its format is opaque here.
+    /// The document, in a format that is opaque to this crate.
     pub document: Arc<[u8]>,
 }
 
-/// Reply to a [`Publish`]; both mean that the order is dealt with.
+/// Reply to a [`Publish`]; after either variant it need not be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum PublishReply {
-    /// The document is in force.
+    /// The document was put in force.
     Accepted,
-    /// A document of the same or a higher version is in force already, and stays.
+    /// A document of the same or a higher version is already in force and stays.
     Superseded,
 }
 
-/// The published document, if there is one.
+/// The state machine of the published document, which is empty at first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Published {
     current: Option<Publish>,
 }
 
 impl Published {
-    /// Applies a committed order.
-    pub fn apply(&mut self, order: Publish) -> PublishReply {
-        if self.version().is_some_and(|held| order.version <= held) {
+    /// Applies a committed command: puts `proposed` in force if its version is higher.
+    pub fn apply(&mut self, proposed: Publish) -> PublishReply {
+        if self
+            .version()
+            .is_some_and(|current| proposed.version <= current)
+        {
             return PublishReply::Superseded;
         }
-        self.current = Some(order);
+        self.current = Some(proposed);
         PublishReply::Accepted
     }
 
-    /// Version in force.
+    /// Version of the document in force.
     pub fn version(&self) -> Option<ConfigVersion> {
         self.current.as_ref().map(|current| current.version)
     }
--- a/crates/auburnbridge_config/src/rules_copy.rs
+++ b/crates/auburnbridge_config/src/rules_copy.rs
@@ -1,4 +1,4 @@
-//! The rules on an entry.
+//! A copy of the rules that is updated by deltas.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 
 use crate::delta::{Delta, DeltaLog};
 
-/// Rules at one revision, with the recent steps that led there.
+/// The rules at one revision, with the most recent steps up to it.
 ///
-/// A copy only moves to higher revisions. It can serve deltas itself, so that entries learn the
-/// rules from each other while the keepers are unavailable.
+/// The revision never decreases. A copy can serve deltas itself, so that entries can fetch rules
+/// from each other while the keepers are unavailable.
 #[derive(Clone, Debug)]
 pub struct RulesCopy {
     revision: Revision,
@@ -19,29 +19,29 @@
     deltas: DeltaLog,
 }
 
-/// Reason why a delta is refused; the copy stays as it is.
+/// Reason why a delta is refused; the copy is left unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DeltaError {
-    /// The delta leads to a lower revision.
+    /// The revision of the delta is lower than that of the copy.
     Lower {
         /// The copy's revision.
         current: Revision,
         /// The delta's revision.
         offered: Revision,
     },
-    /// The delta starts from another revision or another text.
+    /// The delta is based on a different revision or a different text.
     BaseMismatch {
         /// The copy's revision.
         current: Revision,
-        /// The revision from which the delta starts.
+        /// The revision on which the delta is based.
         base: Revision,
     },
-    /// The text does not have the digest that the delta states for this revision.
+    /// The digest of the text is not the one that the delta states for this revision.
     DigestMismatch {
         /// The delta's revision.
         revision: Revision,
     },
-    /// The resulting rules are not valid for this program.
+    /// The resulting rules are invalid for this version of the program.
     Invalid(Vec<RuleError>),
 }
 
@@ -74,7 +74,7 @@
 impl std::error::Error for DeltaError {}
 
 impl Default for RulesCopy {
-    /// The empty rules of revision 0, from which every fleet starts.
+    /// The empty rules of revision 0, the initial state of every fleet.
     fn default() -> Self {
         Self {
             revision: Revision(0),
@@ -100,7 +100,8 @@
         &self.rules
     }
 
-    /// What a follower at `revision` needs; a follower at a higher revision needs nothing.
+    /// The delta that updates a copy from `revision` to the revision of this one;
+    /// [`Delta::Current`] if `revision` is not lower.
     pub fn delta_since(&self, revision: Revision) -> Delta {
         if revision >= self.revision {
             return Delta::Current {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// The whole text, for a follower whose text does not match.
+    /// A delta with the whole text, for a copy whose text does not match.
     pub fn whole(&self) -> Delta {
         Delta::Whole {
             revision: self.revision,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Applies a delta; returns whether the revision changed.
+    /// Applies a delta and returns whether the revision changed.
     pub fn apply_delta(&mut self, delta: &Delta) -> Result<bool, DeltaError> {
         let offered = delta.revision();
         match delta {
@@ -140,7 +141,7 @@
             Delta::Lines { digest, .. } | Delta::Whole { digest, .. }
                 if offered == self.revision =>
             {
-                self.confirm(*digest)
+                self.check_digest(*digest)
             }
             Delta::Lines {
                 base,
@@ -171,7 +172,7 @@
 
     /// Moves to the next revision after an accepted edit.
     pub(crate) fn accept(&mut self, rules: Rules, edits: Option<Vec<LineEdit>>) -> Revision {
-        self.put(self.revision.next(), rules, edits);
+        self.install(self.revision.next(), rules, edits);
         self.revision
     }
 
@@ -197,18 +198,19 @@
         if rules.digest() != digest {
             return Err(DeltaError::DigestMismatch { revision });
         }
-        self.put(revision, rules, edits);
+        self.install(revision, rules, edits);
         Ok(true)
     }
 
-    fn put(&mut self, revision: Revision, rules: Rules, edits: Option<Vec<LineEdit>>) {
+    fn install(&mut self, revision: Revision, rules: Rules, edits: Option<Vec<LineEdit>>) {
         self.deltas.push(self.revision, self.digest(), edits);
         self.revision = revision;
         self.rules = Arc::new(rules);
     }
 
-    /// Two texts under one revision show that the log's order was broken.
-    fn confirm(&self, digest: TextDigest) -> Result<bool, DeltaError> {
+    /// Compares the digest stated for the current revision. Different texts for one revision mean
+    /// that log order was violated.
+    fn check_digest(&self, digest: TextDigest) -> Result<bool, DeltaError> {
         if digest == self.digest() {
             Ok(false)
         } else {
--- a/crates/auburnbridge_config/src/edit_ids.rs
+++ b/crates/auburnbridge_config/src/seen_edits.rs
@@ -1,9 +1,9 @@
-//! Ids of edits that were seen, with their first replies.
+//! Deduplication of edits: the ids of edits that were seen, with their first replies.
 //!
-//! An id is refused as expired once log time is past its creation time and the retention. It is
-//! dropped only after that moment, so a late resend can't apply an edit again. At most
-//! [`MAX_EDIT_IDS`] ids are remembered; when all of them are younger than that, further edits are
-//! refused until the oldest has expired.
+//! An id expires once log time reaches its creation time plus the retention, and is refused from
+//! then on. It is dropped only after that, so a late resend can't apply an edit again. At most
+//! [`MAX_EDIT_IDS`] ids are kept; if all of them are still needed, further edits are refused until
+//! the oldest has expired.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,59 +13,62 @@
 
 use crate::edit::{EditId, EditReply};
 
-/// How long after its creation an id is accepted.
+/// Time from the creation of an id until it expires.
 pub const EDIT_ID_RETENTION: Millis = Millis(24 * 3_600_000);
 
-/// Largest number of ids that are remembered; nine days at 11,000 edits a day.
+/// Maximum number of ids that are kept; enough for nine days at 11,000 edits a day.
 pub const MAX_EDIT_IDS: usize = 100_000;
 
-/// Largest size of the errors that are kept for resends, in bytes. Beyond it, the lists of the
-/// oldest refused edits are dropped, and a resend gets only their number.
+/// Maximum total size of the errors that are kept for resends. Beyond it, the error lists of the
+/// oldest refused edits are dropped, and a resend gets only the number of errors.
 pub const MAX_KEPT_ERROR_BYTES: usize = 4 << 20;
 
-/// Size of a kept error beside its texts, in bytes; a constant, since every keeper must drop the
-/// same lists whatever its compiler's layout of the type.
-const ERROR_BYTES: usize = 80;
+/// Assumed size of a kept error without its texts. It is fixed because all keepers must drop the
+/// same lists, whatever memory layout the compiler gives the type.
+const ERROR_OVERHEAD_BYTES: usize = 80;
 
-/// How far an operator's clock may run ahead of log time.
-const MAX_CLOCK_LEAD: Millis = Millis(5 * 60_000);
+/// How far an operator's clock may be ahead of log time.
+const MAX_CLOCK_SKEW: Millis = Millis(5 * 60_000);
 
-/// Ids in the order in which they were seen.
+/// Seen edits by id, with a limit on their number and on the size of their errors.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct EditIds {
+pub(crate) struct SeenEdits {
     seen: HashMap<EditId, SeenEdit>,
+    /// All ids, in the order in which they were seen.
     order: VecDeque<EditId>,
     /// Refused edits whose errors are kept, oldest first.
     with_errors: VecDeque<EditId>,
     error_bytes: usize,
 }
 
-/// First reply to an edit.
+/// An edit that was seen, with its first reply.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SeenEdit {
-    pub(crate) time: Timestamp,
+    pub(crate) seen_at: Timestamp,
     /// SHA-256 digest of the edit.
     pub(crate) digest: [u8; 32],
     pub(crate) reply: EditReply,
 }
 
-impl EditIds {
+impl SeenEdits {
     pub(crate) fn get(&self, id: EditId) -> Option<&SeenEdit> {
         self.seen.get(&id)
     }
 
-    /// Whether an id that is not remembered can't have been forgotten.
-    pub(crate) fn is_new(now: Timestamp, id: EditId) -> bool {
-        now < id.created().after(EDIT_ID_RETENTION) && id.created() <= now.after(MAX_CLOCK_LEAD)
+    /// Whether the creation time of the id is accepted. An id in the window can't have been dropped
+    /// before, so an unknown one is new.
+    pub(crate) fn is_in_window(now: Timestamp, id: EditId) -> bool {
+        now < id.created().after(EDIT_ID_RETENTION) && id.created() <= now.after(MAX_CLOCK_SKEW)
     }
 
-    /// Makes room for one id; returns `false` when every remembered id is still needed.
+    /// Makes room for one id by dropping expired ones; returns `false` if every id is still needed.
     pub(crate) fn make_room(&mut self, now: Timestamp) -> bool {
         while self.order.len() >= MAX_EDIT_IDS {
             let oldest = self.order[0];
-            // No id was created later than this long after it was seen.
-            let needed_for = Millis(EDIT_ID_RETENTION.0 + MAX_CLOCK_LEAD.0);
-            if now < self.seen[&oldest].time.after(needed_for) {
+            // The id may have been created by a clock that was ahead of log time, so it expires
+            // at most this long after it was seen.
+            let needed_for = Millis(EDIT_ID_RETENTION.0 + MAX_CLOCK_SKEW.0);
+            if now < self.seen[&oldest].seen_at.after(needed_for) {
                 return false;
             }
             self.order.pop_front();
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Every id with its first reply, in the order in which they were seen.
+    /// All seen edits, in the order in which they were seen.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (EditId, &SeenEdit)> {
         self.order.iter().map(|id| (*id, &self.seen[id]))
     }
@@ -105,21 +108,23 @@
         {
             let dropped = std::mem::take(errors);
             *omitted += u32::try_from(dropped.len()).unwrap_or(u32::MAX);
-            self.error_bytes -= bytes_of(&dropped);
+            self.error_bytes -= total_error_bytes(&dropped);
         }
     }
 }
 
 fn error_bytes(reply: &EditReply) -> usize {
     match reply {
-        EditReply::Invalid { errors, .. } => bytes_of(errors),
+        EditReply::Invalid { errors, .. } => total_error_bytes(errors),
         _ => 0,
     }
 }
 
-fn bytes_of(errors: &[RuleError]) -> usize {
+fn total_error_bytes(errors: &[RuleError]) -> usize {
     errors
         .iter()
-        .map(|error| ERROR_BYTES + error.text.len() + error.problem.len() + error.fix.len())
+        .map(|error| {
+            ERROR_OVERHEAD_BYTES + error.text.len() + error.problem.len() + error.fix.len()
+        })
         .sum()
 }
--- a/crates/auburnbridge_config/src/snapshot.rs
+++ b/crates/auburnbridge_config/src/snapshot.rs
@@ -1,7 +1,6 @@
-//! Snapshots of the state machine.
+//! Snapshots of the rules state machine.
 //!
-//! The encoding is a function of the state alone, so that keepers with the same state write the
-//! same bytes.
+//! The encoding depends only on the state, so that keepers with equal state write equal bytes.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -13,21 +12,21 @@
 use crate::config::Config;
 use crate::delta::DeltaLog;
 use crate::edit::EditId;
-use crate::edit_ids::{EditIds, SeenEdit};
 use crate::history::HistoryEntry;
 use crate::rules_copy::RulesCopy;
+use crate::seen_edits::{SeenEdit, SeenEdits};
 
-/// Version of the encoding; a snapshot with a higher one is refused.
-const VERSION: u16 = 1;
+/// Version of the encoding; snapshots with a higher version are refused.
+const SNAPSHOT_VERSION: u16 = 1;
 
 /// Reason why a snapshot can't be restored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// The snapshot was written by a newer program.
+    /// The snapshot was written by a newer version of the program.
     NewerVersion(u16),
-    /// The bytes are not a snapshot.
+    /// The bytes are not a valid snapshot.
     Malformed,
-    /// The rules in the snapshot are not valid for this program.
+    /// The rules in the snapshot are invalid for this version of the program.
     Invalid(Vec<RuleError>),
 }
 
@@ -36,7 +35,7 @@
         match self {
             Self::NewerVersion(version) => write!(
                 f,
-                "the snapshot of the rules has version {version}, this program reads up to {VERSION}"
+                "the snapshot of the rules has version {version}, this program reads up to {SNAPSHOT_VERSION}"
             ),
             Self::Malformed => write!(f, "the snapshot of the rules can't be decoded"),
             Self::Invalid(errors) => {
@@ -52,59 +51,59 @@
 impl std::error::Error for SnapshotError {}
 
 #[derive(Serialize)]
-struct WrittenState<'a> {
+struct SnapshotRef<'a> {
     revision: Revision,
     text: &'a str,
     deltas: &'a DeltaLog,
-    ids: Vec<(EditId, &'a SeenEdit)>,
+    seen_edits: Vec<(EditId, &'a SeenEdit)>,
     history: &'a VecDeque<HistoryEntry>,
 }
 
 #[derive(Deserialize)]
-struct ReadState<'a> {
+struct Snapshot<'a> {
     revision: Revision,
     text: &'a str,
     deltas: DeltaLog,
-    ids: Vec<(EditId, SeenEdit)>,
+    seen_edits: Vec<(EditId, SeenEdit)>,
     history: VecDeque<HistoryEntry>,
 }
 
 impl Config {
-    /// Encodes the whole state.
+    /// Encodes the complete state.
     pub fn snapshot(&self) -> Vec<u8> {
-        let state = WrittenState {
+        let state = SnapshotRef {
             revision: self.revision(),
             text: self.rules().text(),
             deltas: self.copy.deltas(),
-            ids: self.ids.iter().collect(),
+            seen_edits: self.seen_edits.iter().collect(),
             history: &self.history,
         };
-        let version = VERSION.to_le_bytes().to_vec();
-        postcard::to_extend(&state, version).expect("the state can be encoded")
+        let version = SNAPSHOT_VERSION.to_le_bytes().to_vec();
+        postcard::to_extend(&state, version).expect("the rules state should be encodable")
     }
 
-    /// Decodes a state that [`Self::snapshot`] encoded.
+    /// Decodes the output of [`Self::snapshot`].
     pub fn restore(snapshot: &[u8]) -> Result<Self, SnapshotError> {
         let (version, state) = snapshot
             .split_first_chunk()
             .ok_or(SnapshotError::Malformed)?;
         let version = u16::from_le_bytes(*version);
-        if version > VERSION {
+        if version > SNAPSHOT_VERSION {
             return Err(SnapshotError::NewerVersion(version));
         }
-        let (state, rest): (ReadState<'_>, _) =
+        let (state, rest): (Snapshot<'_>, _) =
             postcard::take_from_bytes(state).map_err(|_| SnapshotError::Malformed)?;
-        if version != VERSION || !rest.is_empty() {
+        if version != SNAPSHOT_VERSION || !rest.is_empty() {
             return Err(SnapshotError::Malformed);
         }
         let rules = Rules::parse(state.text).map_err(SnapshotError::Invalid)?;
-        let mut ids = EditIds::default();
-        for (id, seen) in state.ids {
-            ids.insert(id, seen);
+        let mut seen_edits = SeenEdits::default();
+        for (id, seen) in state.seen_edits {
+            seen_edits.insert(id, seen);
         }
         Ok(Self {
             copy: RulesCopy::from_parts(state.revision, rules, state.deltas),
-            ids,
+            seen_edits,
             history: state.history,
         })
     }
--- a/crates/auburnbridge_config/tests/common/mod.rs
+++ b/crates/auburnbridge_config/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Edits for the tests of this crate.
+//! Edits used by the tests of this crate.
 
 use auburnbridge_config::{Change, Edit, EditId, LineSelector};
 use auburnbridge_types::{IdempotencyKey, Revision, Timestamp};
@@ -6,10 +6,10 @@
 pub const START: Timestamp = Timestamp(1_800_000_000_000);
 pub const SERVICE: &str = "service stock slots-floor 24 # asked by Meera";
 
-/// An id that the operator made at `created`.
+/// An id that the operator created at `created`.
 pub fn id(created: Timestamp, number: u32) -> EditId {
     let mut random = [0; 10];
-    // The first bytes also hold the version and the variant.
+    // The first bytes also contain the UUID version and variant.
     random[6..].copy_from_slice(&number.to_le_bytes());
     IdempotencyKey::from_parts(created, random).into()
 }
--- a/crates/auburnbridge_config/tests/edits.rs
+++ b/crates/auburnbridge_config/tests/edits.rs
@@ -1,4 +1,4 @@
-//! Guards the replies to edits and their order.
+//! Tests of the replies to edits, their order and their deduplication.
 
 mod common;
 
@@ -12,9 +12,9 @@
     LineSelector::Text(text.to_owned())
 }
 
-/// Guards against a reply that tells an operator something else than what happened.
+/// Guards against a reply to an operator that does not match the effect of the edit.
 #[test]
-fn replies_and_texts() {
+fn edits_get_expected_replies() {
     let route = "route GET /a/* to stock idempotent # asked by Meera";
     let moved = "route GET /b/* to stock idempotent # asked by Meera";
     let steps = [
@@ -68,9 +68,10 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Guards against a race in which the operator with more edits wins over the one who was first.
+/// Guards against a race in which an operator who sends more edits wins over the one who was first
+/// in the log.
 #[test]
-fn log_order_decides_between_racing_operators() {
+fn first_concurrent_edit_in_log_order_wins() {
     let mut config = Config::default();
     let accepted = config.apply(START, edit(1, Some(0), set(SERVICE)));
     assert_eq!(
@@ -93,10 +94,10 @@
     }
 }
 
-/// Guards against an edit that is applied a second time after its id was forgotten, and against
-/// unbounded memory.
+/// Guards against an edit that is applied again after its id was dropped, and against unbounded
+/// memory.
 #[test]
-fn ids_are_bounded_and_never_run_twice() {
+fn kept_ids_are_bounded_and_edits_apply_at_most_once() {
     let mut config = Config::default();
     let refused = |number| edit(number, Some(7), set(SERVICE));
     let stale = EditReply::Stale {
@@ -116,13 +117,14 @@
         id: id(now, number),
         ..refused(number)
     };
-    // An id may have been created up to 5 min after it was seen, and is needed that much longer.
-    let almost = START.after(EDIT_ID_RETENTION);
-    let early = config.apply(almost, fresh(almost, count));
-    assert_eq!(early, EditReply::TooManyEdits);
-    let later = almost.after(Millis(5 * 60_000));
+    // The creation time of an id may be up to 5 min after the id was seen, so the id is kept that
+    // much longer than its retention.
+    let retention_end = START.after(EDIT_ID_RETENTION);
+    let reply = config.apply(retention_end, fresh(retention_end, count));
+    assert_eq!(reply, EditReply::TooManyEdits);
+    let later = retention_end.after(Millis(5 * 60_000));
     assert_eq!(config.apply(later, fresh(later, count)), stale);
-    // The first id made room; it is past its retention, so its resend can't be taken for new.
+    // The first id was dropped to make room; it has expired, so its resend isn't taken for new.
     assert_eq!(config.apply(later, refused(0)), EditReply::IdExpired);
     assert_eq!(
         config.apply(later, refused(1)),
@@ -130,7 +132,7 @@
     );
 }
 
-/// Guards against ids from a clock that runs far ahead, which would outlive their memory.
+/// Guards against ids from a clock that is far ahead, which would be dropped before they expire.
 #[test]
 fn ids_outside_the_window_are_refused() {
     let cases = [
@@ -153,7 +155,7 @@
     }
 }
 
-/// Guards against refused edits that fill the memory with their errors.
+/// Guards against refused edits whose kept errors exhaust the memory.
 #[test]
 fn kept_errors_are_bounded() {
     let mut config = Config::default();
@@ -161,13 +163,13 @@
     for number in 0..40 {
         let reply = config.apply(START, edit(number, None, invalid()));
         let EditReply::Invalid { errors, omitted } = reply else {
-            panic!("edit {number} was not refused as invalid")
+            panic!("edit {number} should be refused as invalid")
         };
         assert_eq!((errors.len(), omitted), (1_000, 3_000));
     }
     assert!(config.snapshot().len() < 5 << 20);
     let EditReply::Repeated(first) = config.apply(START, edit(0, None, invalid())) else {
-        panic!("the first id is remembered");
+        panic!("the first id should still be known");
     };
     assert_eq!(
         *first,
--- a/crates/auburnbridge_config/tests/replication.rs
+++ b/crates/auburnbridge_config/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Guards the agreement of keepers with each other and with the entries that follow them.
+//! Tests that keepers agree with each other and with the entries that copy their rules.
 
 mod common;
 
@@ -39,7 +39,7 @@
     ]
 }
 
-/// Ids repeat now and then, and so do expected revisions that are stale.
+/// Random edits, some with reused ids and some with stale expected revisions.
 fn edits(count: usize) -> impl Strategy<Value = Vec<Edit>> {
     let one = (
         any::<bool>(),
@@ -50,8 +50,8 @@
     prop::collection::vec(one, count).prop_map(|drawn| {
         let numbered = drawn.into_iter().zip(1_000..);
         numbered
-            .map(|((fresh, number, expected, change), next)| {
-                edit(if fresh { next } else { number }, expected, change)
+            .map(|((is_new, number, expected, change), next)| {
+                edit(if is_new { next } else { number }, expected, change)
             })
             .collect()
     })
@@ -60,55 +60,55 @@
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 12,
-        // A fixed seed gives the same verdict in every run.
+        // The seed is fixed so that every run tests the same cases.
         rng_seed: RngSeed::Fixed(1),
         ..ProptestConfig::default()
     })]
 
-    /// Guards against a restarted keeper that continues from another state than the one it had.
+    /// Guards against a restarted keeper that continues from a different state than it had before.
     #[test]
     fn restored_state_is_identical(edits in edits(1_000), restart in 0..1_000usize) {
-        let mut steady = Config::default();
+        let mut uninterrupted = Config::default();
         let mut restarted = Config::default();
         for (step, edit) in edits.into_iter().enumerate() {
             if step == restart {
                 restarted = Config::restore(&restarted.snapshot()).unwrap();
             }
             let now = START.after(Millis(step as u64));
-            let replies = (steady.apply(now, edit.clone()), restarted.apply(now, edit));
+            let replies = (uninterrupted.apply(now, edit.clone()), restarted.apply(now, edit));
             prop_assert_eq!(replies.0, replies.1);
         }
-        let snapshot = steady.snapshot();
-        prop_assert!(steady.revision() > Revision(10));
+        let snapshot = uninterrupted.snapshot();
+        prop_assert!(uninterrupted.revision() > Revision(10));
         prop_assert_eq!(&snapshot, &restarted.snapshot());
         prop_assert_eq!(&snapshot, &Config::restore(&snapshot).unwrap().snapshot());
     }
 
-    /// Guards against an entry that reaches another text than the keepers, directly or through
-    /// another entry, and against one that goes back.
+    /// Guards against an entry whose rules differ from those of the keepers after it fetched them,
+    /// directly or through another entry, and against an entry that returns to a lower revision.
     #[test]
-    fn followers_reach_the_same_text(
+    fn entries_converge_on_rules_of_keepers(
         edits in edits(60),
         fetches in prop::collection::vec((any::<bool>(), any::<bool>()), 60),
     ) {
         let mut config = Config::default();
-        let (mut near, mut far) = (RulesCopy::default(), RulesCopy::default());
-        for (edit, (near_fetches, far_fetches)) in edits.into_iter().zip(fetches) {
+        let (mut direct, mut indirect) = (RulesCopy::default(), RulesCopy::default());
+        for (edit, (direct_fetches, indirect_fetches)) in edits.into_iter().zip(fetches) {
             config.apply(START, edit);
-            if near_fetches {
-                near.apply_delta(&config.delta_since(near.revision())).unwrap();
-                prop_assert_eq!(near.revision(), config.revision());
-                prop_assert_eq!(near.rules(), config.rules());
+            if direct_fetches {
+                direct.apply_delta(&config.delta_since(direct.revision())).unwrap();
+                prop_assert_eq!(direct.revision(), config.revision());
+                prop_assert_eq!(direct.rules(), config.rules());
             }
-            if far_fetches {
-                far.apply_delta(&near.delta_since(far.revision())).unwrap();
-                prop_assert_eq!(far.rules(), near.rules());
+            if indirect_fetches {
+                indirect.apply_delta(&direct.delta_since(indirect.revision())).unwrap();
+                prop_assert_eq!(indirect.rules(), direct.rules());
             }
         }
     }
 }
 
-fn followed() -> (Config, RulesCopy) {
+fn config_with_copy() -> (Config, RulesCopy) {
     let mut config = Config::default();
     config.apply(START, edit(1, None, set(SERVICE)));
     let mut copy = RulesCopy::default();
@@ -116,10 +116,11 @@
     (config, copy)
 }
 
-/// Guards against an entry that reverts, or that takes a damaged or foreign delta.
+/// Guards against an entry that returns to a lower revision or accepts a delta with a wrong base,
+/// digest or text.
 #[test]
-fn wrong_deltas_are_refused() {
-    let (config, copy) = followed();
+fn invalid_deltas_are_refused() {
+    let (config, copy) = config_with_copy();
     let (revision, digest) = (Revision(2), TextDigest::of(""));
     let edits = vec![LineEdit::Remove { line: 1 }];
     let base_digest = config.digest();
@@ -168,10 +169,10 @@
     assert!(matches!(lower, Err(DeltaError::Lower { .. })));
 }
 
-/// Guards against an edit of one line that makes every entry fetch the whole file.
+/// Guards against a one-line edit that makes every entry fetch the whole file.
 #[test]
-fn small_changes_travel_as_lines() {
-    let (mut config, _) = followed();
+fn small_changes_are_sent_as_line_edits() {
+    let (mut config, _) = config_with_copy();
     let mut text = config.rules().text().to_string();
     text.push_str("keys remember 48h # asked by Jonas\n");
     let reply = config.apply(START, edit(2, None, Change::ReplaceAll(text)));
@@ -183,16 +184,16 @@
     );
     for (since, count) in [(0, 2), (1, 1)] {
         let Delta::Lines { edits, .. } = config.delta_since(Revision(since)) else {
-            panic!("revision {since} gets the whole file");
+            panic!("an entry at revision {since} should get line edits");
         };
         assert_eq!(edits.len(), count);
     }
 }
 
-/// Guards against a damaged or newer snapshot that is taken for a state.
+/// Guards against restoring a corrupt snapshot or one of a newer version.
 #[test]
-fn wrong_snapshots_are_refused() {
-    let (config, _) = followed();
+fn invalid_snapshots_are_refused() {
+    let (config, _) = config_with_copy();
     let snapshot = config.snapshot();
     let mut newer = snapshot.clone();
     newer[0] += 1;
@@ -203,7 +204,7 @@
     for end in 0..snapshot.len() {
         assert!(
             Config::restore(&snapshot[..end]).is_err(),
-            "accepted {end} bytes"
+            "the first {end} bytes were accepted"
         );
     }
     let mut longer = snapshot;
