--- a/crates/auburnbridge_messages/src/lib.rs
+++ b/crates/auburnbridge_messages/src/lib.rs
@@ -1,8 +1,8 @@
-//! Typed messages between the system's own processes.
+//! Typed messages between the processes of the fleet.
 //!
-//! The transport carries opaque bodies; this crate gives them their one type for each direction and
-//! encodes them with the transport's codec, which puts a format version first and bounds the size.
-//! Who may send what is decided by the receiver from the certificate's role.
+//! The transport carries opaque bodies. This crate defines one type per direction, [`Request`] and
+//! [`Reply`], and encodes them with the transport's codec, which prepends a format version and
+//! limits the size. The receiver authorizes each request by the role in the sender's certificate.
 
 use std::net::SocketAddr;
 
@@ -19,10 +19,10 @@
 use serde::{Deserialize, Serialize};
 use strum::IntoStaticStr;
 
-/// Longest message: the whole rules text at design scale, or one message of the log.
+/// Maximum size of a message: the complete rules text at design scale, or one log message.
 pub const MESSAGE_LIMIT: ByteSize = ByteSize(48 << 20);
 
-/// A call or one-way message.
+/// A request or one-way message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Request {
@@ -30,85 +30,87 @@
     Ledger(Command),
     /// To a keeper: apply an edit to the rules.
     Edit(Edit),
-    /// To a keeper or entry: the rules after a revision. Keepers note what the sender has in force.
+    /// To a keeper or entry: fetch the rules after a revision.
+    ///
+    /// Keepers record the sender's revision.
     FetchRules {
-        /// The revision that the sender has in force.
+        /// The revision in force at the sender.
         have: Revision,
-        /// Data centre of the sender, for the status of the fleet.
+        /// Data centre of the sender, for the fleet status.
         data_centre: DataCentre,
     },
-    /// To a keeper: the sender's replica and the group that it is in, and the same in return.
+    /// Between keepers: exchange replica ids and group members.
     Hello(KeeperHello),
-    /// To a keeper that leads: a keeper without a group asks to replace the one of its VM.
+    /// To the leading keeper: a keeper without a group asks to replace the member of its VM.
     Join {
-        /// The data folder of the sender.
+        /// Replica id of the sender's data folder.
         replica: ReplicaId,
     },
-    /// Between keepers, one way: a message of the log.
+    /// Between keepers, one way: a message of the log replication.
     Log(Box<Message>),
     /// Between entries: a target crashed while it ran a request.
     Crash(CrashReport),
-    /// Between entries, one way: what the sender saw of targets that are suspected.
+    /// Between entries, one way: the sender's evidence about suspected targets.
     Evidence(Vec<ServiceEvidence>),
     /// Between entries, one way: announcements that are new to the sender.
     Rumours {
-        /// Targets.
+        /// Announcements of targets.
         targets: Vec<Announcement>,
-        /// Entries.
+        /// Announcements of entries.
         entries: Vec<EntryAnnouncement>,
     },
-    /// Between entries: one step of the comparison of targets.
+    /// Between entries: one step of the anti-entropy exchange of targets.
     SyncTargets(SyncMessage<Announcement>),
-    /// Between entries: one step of the comparison of entries.
+    /// Between entries: one step of the anti-entropy exchange of entries.
     SyncEntries(SyncMessage<EntryAnnouncement>),
-    /// To the keeper that leads: puts a configuration document in force.
+    /// To the leading keeper: publish a configuration document.
     Publish(Publish),
-    /// To the keeper that leads: records that a target has left.
+    /// To the leading keeper: record that a target has left.
     Depart(Announcement),
-    /// To the keeper that leads: the published document.
+    /// To the leading keeper: read the published document.
     ReadPublished,
-    /// From a gateway to a keeper: waits for a change of what a gateway follows.
+    /// From a gateway to a keeper: wait for a change of the document or the targets (long poll).
     Watch(Watch),
     /// Between keepers, one way: announcements and gateways that are new to the sender.
     Heard(Heard),
-    /// Between keepers: everything that the receiver knows of the targets.
+    /// Between keepers: fetch all known targets.
     FetchTargets,
 }
 
-/// Position in the changes of one keeper's list of targets.
+/// Position in the change history of one keeper's target list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListPosition {
-    /// Random number of the keeper's process.
+    /// Random number that identifies the keeper's process.
     pub boot: u64,
     /// Number of changes so far.
     pub changes: u64,
 }
 
-/// What a gateway has, so that it gets what it lacks.
+/// A long poll that states what the gateway has, so that the reply holds only what is newer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watch {
     /// Version of the published document that the gateway has.
     pub version: Option<ConfigVersion>,
-    /// Position of the gateway's list of targets.
+    /// Position of the gateway's target list.
     pub position: Option<ListPosition>,
-    /// Longest wait for a change.
+    /// Maximum time to wait for a change.
     pub wait: Millis,
-    /// Where the gateway takes datagrams of other gateways.
+    /// Address at which the gateway receives datagrams from other gateways.
     pub address: SocketAddr,
-    /// Where the gateway runs.
+    /// Data centre of the gateway.
     pub data_centre: DataCentre,
 }
 
 /// Reply to a [`Watch`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watched {
-    /// The published document, if it is newer than the gateway's.
+    /// The published document, if newer than the gateway's.
     pub document: Option<Publish>,
-    /// Position after `targets`.
+    /// Position of the list after applying `targets`.
     pub position: ListPosition,
-    /// Targets that changed; all of them if the position is another keeper's.
+    /// Changed targets; all targets if the position can't be resumed, such as another keeper's.
     pub targets: Vec<Announcement>,
-    /// Time since the keeper's state was last known to be complete.
+    /// Time since the keeper's state was last confirmed to be complete.
     pub confirmed_before: Option<Millis>,
     /// VMs of the keepers.
     pub keepers: Vec<VmId>,
@@ -119,15 +121,15 @@
 /// A running gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayLocation {
-    /// Its VM.
+    /// VM of the gateway.
     pub vm: VmId,
-    /// Where it takes datagrams.
+    /// Address at which the gateway receives datagrams.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Data centre of the gateway.
     pub data_centre: DataCentre,
 }
 
-/// What a keeper heard from targets and gateways.
+/// Announcements and gateways that a keeper passes on to other keepers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heard {
     /// Announcements of targets.
@@ -136,12 +138,16 @@
     pub gateways: Vec<GatewayLocation>,
 }
 
-/// Packs a configuration document for the log and the network; JSON shrinks to about a quarter.
+/// Compresses a configuration document for the log and the network.
+///
+/// JSON shrinks to about a quarter.
 pub fn pack_document(document: &[u8]) -> Vec<u8> {
     lz4_flex::compress_prepend_size(document)
 }
 
-/// Unpacks what [`pack_document`] packed.
+/// Decompresses the output of [`pack_document`].
+///
+/// Returns [`CodecError::Malformed`] if the data is corrupt.
 pub fn unpack_document(packed: &[u8]) -> Result<Vec<u8>, CodecError> {
     lz4_flex::decompress_size_prepended(packed)
         .map_err(|error| CodecError::Malformed(error.to_string()))
@@ -160,59 +166,59 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Reply {
-    /// The ledger's reply, after a quorum synced the command.
+    /// The ledger's reply, after a quorum has synced the command.
     Ledger(LedgerReply),
-    /// The reply to an edit, after a quorum synced it.
+    /// The reply to an edit, after a quorum has synced it.
     Edit(EditReply),
-    /// The command was not taken; the keeper does not lead.
+    /// The command was not accepted, since the keeper is not the leader.
     NotLeader {
-        /// The leader that the keeper knows.
+        /// The leader, if the keeper knows it.
         leader: Option<VmId>,
     },
-    /// The command was not taken; too many are pending.
+    /// The command was not accepted, since too many commands are pending.
     Busy,
-    /// The keeper lost the leadership; the command may still take effect.
+    /// The keeper lost leadership; the command may still take effect.
     LeadershipLost,
     /// The rules after the sender's revision.
     Rules(Delta),
-    /// The keeper's replica and group.
+    /// The keeper's replica id and group members.
     Hello(KeeperHello),
-    /// The published document is dealt with, after a quorum synced it.
+    /// The reply to a published document, after a quorum has synced it.
     Published(PublishReply),
-    /// The published document that was in force when the call arrived.
+    /// The published document in force when the request arrived.
     Document(Option<Publish>),
-    /// What a gateway lacked.
+    /// What is newer than the state of the gateway.
     Watched(Watched),
-    /// Everything that is known of the targets, departures included.
+    /// All known targets, including departed ones.
     Targets(Vec<Announcement>),
-    /// Next step of a comparison of targets.
+    /// Next step of the anti-entropy exchange of targets.
     SyncTargets(Option<SyncMessage<Announcement>>),
-    /// Next step of a comparison of entries.
+    /// Next step of the anti-entropy exchange of entries.
     SyncEntries(Option<SyncMessage<EntryAnnouncement>>),
-    /// Taken; nothing to say.
+    /// The request was accepted; there is no content to return.
     Done,
-    /// The sender's role may not send this, or the receiver does not serve it.
+    /// The sender's role is not authorized, or the receiver does not serve this request.
     Refused,
 }
 
-/// A keeper's data folder and the group that it is in.
+/// A keeper's replica id and the members of its group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeeperHello {
-    /// The data folder.
+    /// Replica id of the data folder.
     pub replica: ReplicaId,
-    /// Members of its group; empty if it is in none.
+    /// Members of the group; empty if the keeper is in none.
     pub members: Vec<Member>,
 }
 
-macro_rules! coded {
+macro_rules! impl_codec {
     ($type:ty) => {
         impl $type {
-            /// Encodes the message for the transport.
+            /// Encodes the message for the transport; fails if it exceeds [`MESSAGE_LIMIT`].
             pub fn encode(&self) -> Result<Vec<u8>, CodecError> {
                 codec::encode(self, MESSAGE_LIMIT)
             }
 
-            /// Decodes a message of the transport.
+            /// Decodes a message from the transport.
             pub fn decode(body: &[u8]) -> Result<Self, CodecError> {
                 codec::decode(body, MESSAGE_LIMIT)
             }
@@ -220,10 +226,10 @@
     };
 }
 
-coded!(Request);
-coded!(Reply);
+impl_codec!(Request);
+impl_codec!(Reply);
 
-/// Reason why a request has no reply.
+/// Reason why a request got no valid reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
     /// The request can't be encoded.
@@ -235,7 +241,7 @@
 }
 
 impl CallError {
-    /// What is certain about the arrival of the request.
+    /// What is known about whether the request arrived.
     pub const fn delivery(&self) -> Delivery {
         match self {
             Self::Request(_) => Delivery::NotReceived,
@@ -257,7 +263,7 @@
 
 impl std::error::Error for CallError {}
 
-/// Sends a request and waits at most `timeout` for the reply.
+/// Sends a request and waits for the reply for at most `timeout`.
 pub async fn call(
     transport: &dyn Transport,
     to: &PeerAddress,
