--- a/crates/auburnbridge_keeper/src/catalogue.rs
+++ b/crates/auburnbridge_keeper/src/catalogue.rs
@@ -1,9 +1,9 @@
-//! What a keeper knows of targets and gateways, and what gateways follow.
+//! A keeper's view of targets, gateways and the published document, which gateways watch.
 //!
-//! A target announces itself to any keeper, which tells the others. That a target is ready is kept
-//! in memory only: it announces itself again within seconds. That it has left goes through the
-//! replicated log first, since the acknowledgement promises that no gateway sends it work any more,
-//! also after every keeper has restarted.
+//! A target announces itself to any keeper, which forwards the announcement to the other keepers.
+//! Readiness is kept in memory only, because a target announces itself again within seconds.
+//! Departures go through the replicated log first: the acknowledgement promises that no gateway
+//! sends the target another request, even after every keeper has restarted.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -20,12 +20,12 @@
 use crate::core::CommitObserver;
 use crate::view_cache::CachedView;
 
-/// Changes that are kept for gateways that follow; one that lags further gets the whole list.
-const KEPT_CHANGES: usize = 4_096;
+/// Recent changes that are kept for watching gateways; one that lags further gets the whole list.
+const MAX_RECENT_CHANGES: usize = 4_096;
 /// Time after which a gateway that watches no keeper is no longer listed.
-const GATEWAY_FORGET: Millis = Millis(4_000);
+const GATEWAY_EXPIRY: Millis = Millis(4_000);
 
-/// Targets, gateways and the published document, as one keeper knows them.
+/// Targets, gateways and the published document, as known to one keeper.
 pub struct Catalogue {
     clock: Arc<dyn Clock>,
     state: Mutex<CatalogueState>,
@@ -33,36 +33,40 @@
 }
 
 struct CatalogueState {
+    /// Random number of this process; positions in another process's list don't apply here.
     boot: u64,
     members: Members,
+    /// Number of changes to the list of targets so far.
     changes: u64,
-    /// The last changes, oldest first.
-    recent: VecDeque<Announcement>,
+    /// The most recent changes, oldest first.
+    recent_changes: VecDeque<Announcement>,
     document: Option<Publish>,
-    confirmed: Option<Timestamp>,
+    /// Latest time at which the applied state was known to be complete.
+    confirmed_at: Option<Timestamp>,
     keepers: Vec<VmId>,
+    /// Gateways with the time at which each was last seen.
     gateways: HashMap<VmId, (GatewayLocation, Timestamp)>,
-    /// Announcements that the other keepers have not been told yet.
-    unsent: Vec<Announcement>,
-    /// Gateways that watched this keeper since the other keepers were told.
-    watching: HashMap<VmId, GatewayLocation>,
-    /// Number of changes and version of the view that was last cached.
-    cached: Option<(u64, Option<ConfigVersion>)>,
+    /// Announcements that have not been sent to the other keepers yet.
+    unsent_targets: Vec<Announcement>,
+    /// Gateways that have watched this keeper since the last message to the other keepers.
+    unsent_gateways: HashMap<VmId, GatewayLocation>,
+    /// Number of changes and document version of the view that was last saved.
+    last_saved: Option<(u64, Option<ConfigVersion>)>,
 }
 
-/// What is known of a target that says it leaves.
+/// Result of looking up a target that announces its departure.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeavingTarget {
-    /// Its departure must be recorded.
+    /// The target is present; this departure must be recorded.
     Present(Announcement),
-    /// Its departure is recorded.
+    /// The departure is already recorded, or a later incarnation has started.
     Departed,
-    /// No announcement of it has arrived.
+    /// No announcement of the target has arrived.
     Unknown,
 }
 
 impl Catalogue {
-    /// Creates an empty catalogue.
+    /// Creates an empty catalogue; `boot` is a random number that identifies this process.
     pub fn new(clock: Arc<dyn Clock>, boot: u64) -> Self {
         Self {
             clock,
@@ -70,34 +74,38 @@
                 boot,
                 members: Members::default(),
                 changes: 0,
-                recent: VecDeque::new(),
+                recent_changes: VecDeque::new(),
                 document: None,
-                confirmed: None,
+                confirmed_at: None,
                 keepers: Vec::new(),
                 gateways: HashMap::new(),
-                unsent: Vec::new(),
-                watching: HashMap::new(),
-                cached: None,
+                unsent_targets: Vec::new(),
+                unsent_gateways: HashMap::new(),
+                last_saved: None,
             }),
             changed: Event::new(),
         }
     }
 
-    /// Takes an announcement of a target that is ready.
+    /// Applies the announcement of a ready target.
     pub fn announce(&self, announcement: Announcement) -> Verdict {
         let now = self.clock.now();
         let mut state = self.state.lock();
-        let verdict = state.take(now, announcement.clone());
+        let verdict = state.apply_announcement(now, announcement.clone());
         if verdict == Verdict::Accepted {
-            state.unsent.push(announcement);
+            state.unsent_targets.push(announcement);
         }
         drop(state);
         self.changed.notify(usize::MAX);
         verdict
     }
 
-    /// What is known of a target that says it leaves, in the life `incarnation` if that is stated.
-    pub fn leaving(&self, target: &TargetId, incarnation: Option<Incarnation>) -> LeavingTarget {
+    /// Looks up a target that announces its departure, for a given incarnation if one is stated.
+    pub fn find_leaving(
+        &self,
+        target: &TargetId,
+        incarnation: Option<Incarnation>,
+    ) -> LeavingTarget {
         let state = self.state.lock();
         let known = state
             .members
@@ -107,7 +115,7 @@
         match known {
             None => LeavingTarget::Unknown,
             Some(known) if incarnation.is_some_and(|stated| stated < known.incarnation) => {
-                // A later life has begun, so this one gets no work any more.
+                // A later incarnation has started, so this one gets no more requests.
                 LeavingTarget::Departed
             }
             Some(known) if known.state == State::Leaving => LeavingTarget::Departed,
@@ -118,7 +126,7 @@
         }
     }
 
-    /// Whether the departure that the announcement states is recorded.
+    /// Whether the departure of the announced incarnation is recorded.
     pub fn has_departed(&self, announcement: &Announcement) -> bool {
         let state = self.state.lock();
         let known = state
@@ -130,15 +138,15 @@
         })
     }
 
-    /// Takes over what another keeper heard.
+    /// Merges announcements and gateways received from another keeper.
     pub fn merge(&self, heard: Heard) {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let before = state.changes;
         for announcement in heard.targets {
-            // Departures take effect through the log alone.
+            // Departures take effect only through the log.
             if announcement.state == State::Ready {
-                state.take(now, announcement);
+                state.apply_announcement(now, announcement);
             }
         }
         for gateway in heard.gateways {
@@ -151,80 +159,85 @@
         }
     }
 
-    /// What the other keepers have not been told yet.
+    /// Takes the announcements and gateways that have not been sent to the other keepers yet.
     pub fn take_unsent(&self) -> Option<Heard> {
         let mut state = self.state.lock();
-        if state.unsent.is_empty() && state.watching.is_empty() {
+        if state.unsent_targets.is_empty() && state.unsent_gateways.is_empty() {
             return None;
         }
         Some(Heard {
-            targets: std::mem::take(&mut state.unsent),
-            gateways: state.watching.drain().map(|(_, gateway)| gateway).collect(),
+            targets: std::mem::take(&mut state.unsent_targets),
+            gateways: state
+                .unsent_gateways
+                .drain()
+                .map(|(_, gateway)| gateway)
+                .collect(),
         })
     }
 
-    /// Every announcement, departures included.
+    /// Returns every announcement, including departures.
     pub fn targets(&self) -> Vec<Announcement> {
         self.state.lock().members.iter().cloned().collect()
     }
 
-    /// Begins with a view that was committed before the process started.
-    pub fn begin_with(&self, view: CachedView) {
+    /// Loads a view that was committed before the process started.
+    pub fn load_view(&self, view: CachedView) {
         let now = self.clock.now();
         let mut state = self.state.lock();
         for announcement in view.targets {
-            state.take(now, announcement);
+            state.apply_announcement(now, announcement);
         }
         state.document = view.document;
     }
 
-    /// The committed view, if it has changed since the last call.
-    pub fn changed_view(&self) -> Option<CachedView> {
+    /// Returns the committed view if it has changed since the last call.
+    pub fn take_changed_view(&self) -> Option<CachedView> {
         let mut state = self.state.lock();
-        let stamp = (state.changes, state.version());
-        if state.cached == Some(stamp) {
+        let current = (state.changes, state.version());
+        if state.last_saved == Some(current) {
             return None;
         }
-        state.cached = Some(stamp);
+        state.last_saved = Some(current);
         Some(CachedView {
             document: state.document.clone(),
             targets: state.members.iter().cloned().collect(),
         })
     }
 
-    /// Makes the next call of [`Catalogue::changed_view`] give the view again.
-    pub fn view_not_stored(&self) {
-        self.state.lock().cached = None;
+    /// Makes the next call of [`Catalogue::take_changed_view`] return the view again.
+    pub fn mark_view_unsaved(&self) {
+        self.state.lock().last_saved = None;
     }
 
-    /// Takes over the VMs of the keepers.
+    /// Sets the VMs of the keepers.
     pub fn set_keepers(&self, keepers: Vec<VmId>) {
         self.state.lock().keepers = keepers;
     }
 
-    /// Forgets gateways and departures that are over.
+    /// Removes expired gateways and departures.
     pub fn expire(&self) {
         let now = self.clock.now();
         let mut state = self.state.lock();
         state.members.expire(now);
         state
             .gateways
-            .retain(|_, (_, seen)| now.since(*seen) < GATEWAY_FORGET);
+            .retain(|_, (_, last_seen)| now.since(*last_seen) < GATEWAY_EXPIRY);
     }
 
-    /// Waits until the gateway lacks something, or for the time that it states.
+    /// Waits until there is something that the gateway lacks, at most for `watch.wait`, and returns
+    /// it (long poll).
     pub async fn watch(&self, vm: &VmId, watch: Watch) -> Watched {
         let gateway = GatewayLocation {
             vm: vm.clone(),
             address: watch.address,
             data_centre: watch.data_centre.clone(),
         };
-        self.note_gateway(gateway);
+        self.record_gateway(gateway);
         let limit = self.clock.sleep(watch.wait);
         let change = async {
             loop {
                 let listener = self.changed.listen();
-                if self.state.lock().has_news(&watch) {
+                if self.state.lock().has_updates(&watch) {
                     return;
                 }
                 listener.await;
@@ -234,29 +247,31 @@
         self.state.lock().reply(self.clock.now(), &watch)
     }
 
-    fn note_gateway(&self, gateway: GatewayLocation) {
+    fn record_gateway(&self, gateway: GatewayLocation) {
         let now = self.clock.now();
         let mut state = self.state.lock();
-        state.watching.insert(gateway.vm.clone(), gateway.clone());
+        state
+            .unsent_gateways
+            .insert(gateway.vm.clone(), gateway.clone());
         state.gateways.insert(gateway.vm.clone(), (gateway, now));
     }
 }
 
 impl CatalogueState {
-    fn take(&mut self, now: Timestamp, announcement: Announcement) -> Verdict {
+    fn apply_announcement(&mut self, now: Timestamp, announcement: Announcement) -> Verdict {
         let known = self
             .members
             .get(&announcement.service, &announcement.target)
             .cloned();
         let verdict = self.members.announce(now, announcement.clone());
-        let is_taken = matches!(verdict, Verdict::Accepted | Verdict::Left);
+        let is_applied = matches!(verdict, Verdict::Accepted | Verdict::Left);
         let is_renewal = known.is_some_and(|known| {
             known.incarnation == announcement.incarnation
                 && known.state == announcement.state
                 && known.address == announcement.address
                 && known.slots == announcement.slots
         });
-        if is_taken && !is_renewal {
+        if is_applied && !is_renewal {
             info!(
                 service = announcement.service.as_str(), target_id = announcement.target.as_str(),
                 incarnation = announcement.incarnation.0, sequence = announcement.sequence.0,
@@ -265,19 +280,19 @@
                 "target announced"
             );
             self.changes += 1;
-            if self.recent.len() >= KEPT_CHANGES {
-                self.recent.pop_front();
+            if self.recent_changes.len() >= MAX_RECENT_CHANGES {
+                self.recent_changes.pop_front();
             }
-            self.recent.push_back(announcement);
+            self.recent_changes.push_back(announcement);
         }
         verdict
     }
 
-    fn has_news(&self, watch: &Watch) -> bool {
-        let has_list = watch
+    fn has_updates(&self, watch: &Watch) -> bool {
+        let is_list_current = watch
             .position
             .is_some_and(|position| position == self.position());
-        self.version() > watch.version || !has_list
+        self.version() > watch.version || !is_list_current
     }
 
     fn version(&self) -> Option<ConfigVersion> {
@@ -300,28 +315,28 @@
         Watched {
             document,
             position: self.position(),
-            targets: self.targets_after(watch.position),
-            confirmed_before: self.confirmed.map(|time| now.since(time)),
+            targets: self.targets_since(watch.position),
+            confirmed_before: self.confirmed_at.map(|time| now.since(time)),
             keepers: self.keepers.clone(),
             gateways: self
                 .gateways
                 .values()
-                .filter(|(_, seen)| now.since(*seen) < GATEWAY_FORGET)
+                .filter(|(_, last_seen)| now.since(*last_seen) < GATEWAY_EXPIRY)
                 .map(|(gateway, _)| gateway.clone())
                 .collect(),
         }
     }
 
-    fn targets_after(&self, position: Option<ListPosition>) -> Vec<Announcement> {
+    fn targets_since(&self, position: Option<ListPosition>) -> Vec<Announcement> {
         let missing = position
             .filter(|position| position.boot == self.boot)
             .and_then(|position| self.changes.checked_sub(position.changes))
             .and_then(|missing| usize::try_from(missing).ok())
-            .filter(|missing| *missing <= self.recent.len());
+            .filter(|missing| *missing <= self.recent_changes.len());
         match missing {
             Some(missing) => {
-                let from = self.recent.len() - missing;
-                self.recent.range(from..).cloned().collect()
+                let from = self.recent_changes.len() - missing;
+                self.recent_changes.range(from..).cloned().collect()
             }
             None => self.members.iter().cloned().collect(),
         }
@@ -332,7 +347,8 @@
     fn published(&self, published: &Publish) {
         {
             let mut state = self.state.lock();
-            // The log is applied from its start; what was cached may be newer than its first records.
+            // The log is applied from its start, so the cached document may be newer than its first
+            // records.
             if state.version() > Some(published.version) {
                 return;
             }
@@ -344,11 +360,13 @@
 
     fn departed(&self, announcement: &Announcement) {
         let now = self.clock.now();
-        self.state.lock().take(now, announcement.clone());
+        self.state
+            .lock()
+            .apply_announcement(now, announcement.clone());
         self.changed.notify(usize::MAX);
     }
 
     fn confirmed(&self, time: Timestamp) {
-        self.state.lock().confirmed = Some(time);
+        self.state.lock().confirmed_at = Some(time);
     }
 }
--- a/crates/auburnbridge_keeper/src/control.rs
+++ b/crates/auburnbridge_keeper/src/control.rs
@@ -1,5 +1,5 @@
-//! The control interface: configurations of operators and announcements of targets, in the formats
-//! of a platform.
+//! The control interface: publishes configurations and accepts announcements of targets, in the
+//! formats of a platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,8 +17,8 @@
 use crate::catalogue::{Catalogue, LeavingTarget};
 use crate::group_client::GroupClient;
 
-/// Longest wait for the group; callers go to another keeper after a second without an answer.
-const GROUP_LIMIT: Millis = Millis(850);
+/// Longest wait for the group. Callers switch to another keeper after one second without a response.
+const GROUP_TIMEOUT: Millis = Millis(850);
 
 /// Serves the control interface of one keeper.
 pub struct ControlService {
@@ -31,7 +31,7 @@
 impl ControlService {
     async fn answer(&self, req: Request) -> Response {
         let call = self.dialect.read_call(&req);
-        let name = name_of(&call);
+        let name = call_name(&call);
         let response = self.handle(&req, call).await;
         let outcome = response.status.to_string();
         self.metrics.record_control_call(name, &outcome);
@@ -45,7 +45,7 @@
                 info!(reason:% = error; "configuration refused");
                 text(400, &error.to_string())
             }
-            Ok(ControlCall::ReadPublished) => self.read().await,
+            Ok(ControlCall::ReadPublished) => self.read_published().await,
             Ok(ControlCall::Announce(Ok(announcement))) => self.announce(announcement).await,
             Ok(ControlCall::Announce(Err(error))) => {
                 info!(path = req.path, reason:% = error; "announcement refused");
@@ -62,11 +62,11 @@
 
     async fn publish(&self, document: PublishedDocument) -> Response {
         let version = document.version;
-        let order = Publish {
+        let publish = Publish {
             version,
             document: pack_document(&document.bytes).into(),
         };
-        match self.group.publish(order, GROUP_LIMIT).await {
+        match self.group.publish(publish, GROUP_TIMEOUT).await {
             Ok(()) => {
                 info!(version = version.0; "configuration acknowledged");
                 text(200, "")
@@ -78,8 +78,8 @@
         }
     }
 
-    async fn read(&self) -> Response {
-        let document = match self.group.read(GROUP_LIMIT).await {
+    async fn read_published(&self) -> Response {
+        let document = match self.group.read(GROUP_TIMEOUT).await {
             Ok(Some(document)) => document,
             Ok(None) => return text(503, "no configuration has been published"),
             Err(error) => {
@@ -114,10 +114,10 @@
     }
 
     async fn leave(&self, target: &TargetId, incarnation: Option<Incarnation>) -> Response {
-        match self.catalogue.leaving(target, incarnation) {
+        match self.catalogue.find_leaving(target, incarnation) {
             LeavingTarget::Present(announcement) => self.record_departure(announcement).await,
             LeavingTarget::Departed => json(b"{}".to_vec()),
-            // Another keeper may know it; the caller goes there.
+            // Another keeper may know the target; the caller retries there.
             LeavingTarget::Unknown => text(503, "no announcement of this target has arrived here"),
         }
     }
@@ -127,7 +127,7 @@
             return json(b"{}".to_vec());
         }
         let (target, incarnation) = (announcement.target.clone(), announcement.incarnation);
-        match self.group.depart(announcement, GROUP_LIMIT).await {
+        match self.group.depart(announcement, GROUP_TIMEOUT).await {
             Ok(()) => {
                 info!(
                     target_id = target.as_str(), incarnation = incarnation.0;
@@ -157,8 +157,8 @@
     }
 }
 
-/// Name of a call in the metrics.
-fn name_of(call: &Result<ControlCall, CallError>) -> &'static str {
+/// Returns the name of a call in the metrics.
+fn call_name(call: &Result<ControlCall, CallError>) -> &'static str {
     match call {
         Ok(ControlCall::Publish(_)) => "publish",
         Ok(ControlCall::ReadPublished) => "read",
--- a/crates/auburnbridge_keeper/src/core.rs
+++ b/crates/auburnbridge_keeper/src/core.rs
@@ -1,7 +1,7 @@
 //! The thread that owns a keeper's replica, its store and its state machines.
 //!
-//! All work on them happens here, one event after the other, so they need no lock. Writes block this
-//! thread: proposals that arrive meanwhile wait in the queue and share the next sync (group commit).
+//! The thread handles one event at a time, so the state needs no lock. Writes block the thread:
+//! proposals that arrive during a write wait in the queue and share the next sync (group commit).
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -23,123 +23,126 @@
 
 use crate::state::{KeeperState, StateCommand, StateReply};
 
-/// Events that are handled before the writes that they caused.
-const BATCH: usize = 512;
-/// Events that may wait; senders beyond it are told that the keeper is busy.
-pub const QUEUE: usize = 8_192;
+/// Queued events that are handled in one batch before the resulting writes.
+const MAX_BATCH_EVENTS: usize = 512;
+/// Capacity of the event queue. When it is full, senders are told that the keeper is busy.
+pub const QUEUE_CAPACITY: usize = 8_192;
 
-/// Work for the thread.
+/// An event for the thread of a [`Core`].
 #[derive(Debug)]
 pub enum Event {
-    /// A message of the log.
+    /// A message of the log from another replica.
     Message {
-        /// The VM that sent it, from its certificate.
+        /// The sending VM, as named by its certificate.
         from: VmId,
         /// The message.
         message: Message,
     },
-    /// A command for the state machines.
+    /// A command to propose for the state machines.
     Propose {
         /// The command.
         command: StateCommand,
         /// Receives the result.
         reply: Sender<Result<StateReply, RejectReason>>,
     },
-    /// A request for the published document, newer than any acknowledgement before the request.
+    /// A linearizable read of the published document: it reflects every publication that was
+    /// acknowledged before the request.
     ReadPublished {
         /// Receives the version and the document, if one is in force.
         reply: Sender<Result<Option<Publish>, RejectReason>>,
     },
-    /// A request for the rules after a revision.
-    Rules {
-        /// The revision that the asker has.
+    /// A request for the changes of the rules since a revision.
+    RulesDelta {
+        /// The revision that the requester has.
         have: Revision,
-        /// Receives the rules.
+        /// Receives the changes.
         reply: Sender<Delta>,
     },
-    /// A request for the rules themselves.
+    /// A request for the applied rules.
     RulesInForce {
         /// Receives the revision and the rules.
         reply: Sender<(Revision, Arc<Rules>)>,
     },
-    /// A request for the last accepted edits.
+    /// A request for the most recent accepted edits.
     History {
         /// Receives the edits, oldest first.
         reply: Sender<Vec<HistoryEntry>>,
     },
-    /// A request for the state of the keeper.
-    Report {
-        /// Receives the state.
-        reply: Sender<Report>,
+    /// A request for the status of the keeper.
+    Status {
+        /// Receives the status.
+        reply: Sender<KeeperStatus>,
     },
-    /// The group's first list of members.
+    /// Starts this replica with the initial member list of the group.
     Bootstrap(Members),
-    /// A keeper without a group asks to replace the one of its VM.
+    /// A keeper without a group asks to join and to replace the previous member on its VM.
     Join {
-        /// Its VM.
+        /// VM of the joining keeper.
         vm: VmId,
-        /// Its data folder.
+        /// Id of its data folder.
         replica: ReplicaId,
-        /// Receives the result of the next step.
+        /// Receives the result of the next membership change.
         reply: Sender<Result<(), RejectReason>>,
     },
-    /// The process is about to stop: hand the leadership over.
+    /// Transfers the leadership because the process is about to stop.
     Resign,
-    /// End of the thread.
+    /// Ends the thread.
     Stop,
 }
 
-/// Hears what is committed, on the thread of the log; it must not block.
+/// Receives notifications of committed changes on the [`Core`] thread. Its methods must not block.
 pub trait CommitObserver: Send + Sync {
-    /// A document is in force.
+    /// Called when a published document takes effect.
     fn published(&self, published: &Publish);
 
-    /// A target has left.
+    /// Called when the departure of a target is committed.
     fn departed(&self, announcement: &Announcement);
 
-    /// The state is as new as that of a leader which was in contact with a quorum at `time`.
+    /// Called when the applied state is at least as recent as that of a leader that was in contact
+    /// with a quorum at `time`.
     fn confirmed(&self, time: Timestamp);
 }
 
-/// Which folders may become members, and how many voters an order needs.
+/// Who may join the group, and how many voters it needs to accept commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admission {
-    /// Whether folders on VMs without a member may join.
+    /// Whether keepers on VMs without a member may join.
     pub admits_new_vms: bool,
-    /// Voters that the group must have before it takes orders.
+    /// Minimum number of voters for the group to accept commands.
     pub least_voters: usize,
 }
 
-/// State of a keeper for other threads.
+/// Status of a keeper, as reported to other threads.
 #[derive(Clone, Debug)]
-pub struct Report {
-    /// State of the replica.
-    pub status: Status,
-    /// The members of its group.
+pub struct KeeperStatus {
+    /// Status of the replica.
+    pub replica_status: Status,
+    /// Members of its group.
     pub members: Vec<Member>,
-    /// Revision of the rules.
+    /// Revision of the applied rules.
     pub revision: Revision,
 }
 
-/// Sends messages of the log to other keepers.
+/// Sends messages of the replicated log to other keepers.
 pub trait LogTransport: Send {
     /// Queues a message without waiting; it may be lost.
     fn send(&self, to: &VmId, message: Message);
 }
 
-/// What a request that is waiting for the log wants to hear.
-enum Waiter {
+/// Reply channel of a request that waits for the log.
+enum PendingReply {
     Proposal(Sender<Result<StateReply, RejectReason>>),
     Change(Sender<Result<(), RejectReason>>),
     Read(Sender<Result<Option<Publish>, RejectReason>>),
 }
 
-/// Reason why the thread ends before it is told to.
+/// Error that ends the thread.
 #[derive(Debug)]
 pub enum CoreError {
-    /// A read or write of the data folder failed; the replica may have promised what it doesn't hold.
+    /// Reading or writing the data folder failed. The replica may have acknowledged records that it
+    /// has not stored.
     Store(StoreError),
-    /// A peer has seen a later start of the data folder.
+    /// A peer has seen a later start from this data folder, so this one is an old copy.
     FolderSuperseded,
 }
 
@@ -171,22 +174,22 @@
 
 /// Settings of a [`Core`].
 pub struct CoreOptions {
-    /// Who may join, and when orders are taken.
+    /// Who may join, and when commands are accepted.
     pub admission: Admission,
-    /// Hears what is committed.
+    /// Receives notifications of committed changes.
     pub observer: Option<Arc<dyn CommitObserver>>,
-    /// Interval of the replica's ticks while nothing else happens.
+    /// Interval of the replica's ticks while no events arrive.
     pub tick: Duration,
 }
 
-/// A keeper's replica with everything that it needs.
+/// A keeper's replica with its store, state machines and transport.
 pub struct Core {
     replica: Replica,
     store: Store,
     state: KeeperState,
     transport: Box<dyn LogTransport>,
     clock: Arc<dyn Clock>,
-    waiters: HashMap<Token, Waiter>,
+    pending: HashMap<Token, PendingReply>,
     next_token: u64,
     commits: CommitCounts,
     metrics: Metrics,
@@ -195,17 +198,19 @@
     tick: Duration,
 }
 
-/// Counts of syncs and of the records that they carried, for the metrics.
+/// Number of syncs and of the records written by them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CommitCounts {
-    /// Writes that were synced.
+    /// Synced writes.
     pub syncs: u64,
-    /// Records that they carried.
+    /// Records in these writes.
     pub records: u64,
 }
 
 impl Core {
-    /// Starts from a recovered replica; `outputs` are those of its recovery.
+    /// Creates a core from a recovered replica and the outputs of its recovery.
+    ///
+    /// Fails if the data folder is superseded or can't be written.
     pub fn new(
         (replica, outputs): (Replica, Vec<Output>),
         store: Store,
@@ -224,7 +229,7 @@
             state: KeeperState::default(),
             transport,
             clock,
-            waiters: HashMap::new(),
+            pending: HashMap::new(),
             next_token: 0,
             commits: CommitCounts::default(),
             metrics,
@@ -235,7 +240,7 @@
         if core.replica.status().superseded {
             return Err(CoreError::FolderSuperseded);
         }
-        core.handle(outputs)?;
+        core.handle_outputs(outputs)?;
         Ok(core)
     }
 
@@ -248,26 +253,29 @@
                 Err(RecvTimeoutError::Disconnected) => return Ok(self.commits),
             };
             let mut outputs = Vec::new();
-            for event in first.into_iter().chain(events.try_iter().take(BATCH)) {
+            for event in first
+                .into_iter()
+                .chain(events.try_iter().take(MAX_BATCH_EVENTS))
+            {
                 if matches!(event, Event::Stop) {
                     return Ok(self.commits);
                 }
-                outputs.extend(self.take(event));
+                outputs.extend(self.handle_event(event));
             }
             outputs.extend(self.step(Input::Tick));
-            self.handle(outputs)?;
-            self.report_contact();
+            self.handle_outputs(outputs)?;
+            self.notify_confirmed();
         }
     }
 
-    /// Tells the observer up to when the applied state is known to be complete.
-    fn report_contact(&self) {
+    /// Tells the observer the time up to which the applied state is known to be complete.
+    fn notify_confirmed(&self) {
         let Some(observer) = &self.observer else {
             return;
         };
         let status = self.replica.status();
         let confirmed = match status.role {
-            // A leader without a quorum steps down within an election timeout.
+            // A leader that loses its quorum steps down within an election timeout.
             "leader" if status.applied == status.commit => Some(self.clock.now()),
             "follower" if status.applied == status.commit => status.leader_contact,
             _ => None,
@@ -277,31 +285,31 @@
         }
     }
 
-    /// Whether the group is large enough that an order survives the losses it must survive.
-    fn takes_orders(&self) -> bool {
+    /// Whether the group has enough voters for a command to survive the tolerated number of losses.
+    fn accepts_proposals(&self) -> bool {
         self.replica.members().voters().count() >= self.admission.least_voters
     }
 
-    fn take(&mut self, event: Event) -> Vec<Output> {
+    fn handle_event(&mut self, event: Event) -> Vec<Output> {
         match event {
             Event::Message { from, message } => self.step(Input::Message { from, message }),
             Event::Propose { command, reply } => {
-                if !self.takes_orders() {
+                if !self.accepts_proposals() {
                     let _ = reply.try_send(Err(RejectReason::Busy));
                     return Vec::new();
                 }
-                let data = postcard::to_stdvec(&command).expect("commands can be encoded");
-                let token = self.wait_for(Waiter::Proposal(reply));
+                let data = postcard::to_stdvec(&command).expect("a command can be encoded");
+                let token = self.register_pending(PendingReply::Proposal(reply));
                 self.step(Input::Propose {
                     token,
                     data: data.into(),
                 })
             }
             Event::ReadPublished { reply } => {
-                let token = self.wait_for(Waiter::Read(reply));
+                let token = self.register_pending(PendingReply::Read(reply));
                 self.step(Input::Read { token })
             }
-            Event::Rules { have, reply } => {
+            Event::RulesDelta { have, reply } => {
                 let _ = reply.try_send(self.state.config.delta_since(have));
                 Vec::new()
             }
@@ -314,8 +322,8 @@
                 let _ = reply.try_send(self.state.config.history().cloned().collect());
                 Vec::new()
             }
-            Event::Report { reply } => {
-                let _ = reply.try_send(self.report());
+            Event::Status { reply } => {
+                let _ = reply.try_send(self.status());
                 Vec::new()
             }
             Event::Bootstrap(members) => {
@@ -332,18 +340,19 @@
         self.replica.step(self.clock.now(), input)
     }
 
-    fn wait_for(&mut self, waiter: Waiter) -> Token {
+    fn register_pending(&mut self, reply: PendingReply) -> Token {
         self.next_token += 1;
         let token = Token(self.next_token);
-        self.waiters.insert(token, waiter);
+        self.pending.insert(token, reply);
         token
     }
 
-    /// Takes the next step of replacing the member of `vm` by the new folder `replica`: add it as a
-    /// learner, remove the lost folder, and promote the learner once it has caught up.
+    /// Proposes the next membership change that replaces the member on `vm` by `replica`: adds
+    /// `replica` as a learner, removes the lost member, and promotes the learner once it has caught
+    /// up.
     ///
-    /// The lost folder goes before the promotion: with both in the list, a quorum would need every
-    /// member that is left, and the loss of a second VM would stop the group.
+    /// The lost member is removed before the promotion: while both are voters, a quorum needs every
+    /// remaining member, and the loss of a second VM would stop the group.
     fn join(
         &mut self,
         vm: VmId,
@@ -379,19 +388,19 @@
             (Some(MemberRole::Learner), None) => MemberChange::Promote(replica),
         };
         debug!("keeper membership change={change:?}");
-        let token = self.wait_for(Waiter::Change(reply));
+        let token = self.register_pending(PendingReply::Change(reply));
         self.step(Input::ChangeMembers { token, change })
     }
 
-    fn handle(&mut self, outputs: Vec<Output>) -> Result<(), CoreError> {
+    fn handle_outputs(&mut self, outputs: Vec<Output>) -> Result<(), CoreError> {
         let mut queue = VecDeque::from(outputs);
         while let Some(output) = queue.pop_front() {
-            queue.extend(self.handle_one(output)?);
+            queue.extend(self.handle_output(output)?);
         }
         Ok(())
     }
 
-    fn handle_one(&mut self, output: Output) -> Result<Vec<Output>, CoreError> {
+    fn handle_output(&mut self, output: Output) -> Result<Vec<Output>, CoreError> {
         match output {
             Output::Send { to, message } => self.transport.send(&to, message),
             Output::Persist(persist) => return self.persist(&persist),
@@ -407,15 +416,15 @@
                     .map(|member| format!("{}:{}", member.vm, member.role))
                     .collect();
                 info!("keeper members={}", names.join(","));
-                if let Some(Waiter::Change(reply)) = self.take_waiter(token) {
+                if let Some(PendingReply::Change(reply)) = self.take_pending(token) {
                     let _ = reply.try_send(Ok(()));
                 }
             }
             Output::Reject { token, reason } => self.reject(token, reason),
-            // Reads of the rules don't come here: a revision only rises, and an entry refuses a lower
-            // one, so they are answered from the applied state.
+            // Reads of the rules don't go through the log but are answered from the applied state:
+            // revisions only increase, and an entry refuses a lower one.
             Output::ReadReady { token, .. } => {
-                if let Some(Waiter::Read(reply)) = self.take_waiter(Some(token)) {
+                if let Some(PendingReply::Read(reply)) = self.take_pending(Some(token)) {
                     let _ = reply.try_send(Ok(self.state.published.current().cloned()));
                 }
             }
@@ -423,10 +432,10 @@
                 match KeeperState::restore(&data) {
                     Ok(state) => {
                         self.state = state;
-                        self.report_state();
+                        self.notify_restored();
                     }
-                    // The store has checked the bytes, so another program version wrote them.
-                    Err(error) => panic!("snapshot at {}: {error}", meta.index),
+                    // The store has verified the bytes, so another program version wrote them.
+                    Err(error) => panic!("snapshot at index {}: {error}", meta.index),
                 }
                 info!("keeper snapshot installed index={}", meta.index);
             }
@@ -457,8 +466,8 @@
     fn apply(&mut self, index: LogIndex, time: Timestamp, data: &[u8], token: Option<Token>) {
         let command = match postcard::from_bytes(data) {
             Ok(command) => command,
-            // Skipping a record that other replicas apply would make the states differ.
-            Err(error) => panic!("record {index} can't be decoded, upgrade this keeper: {error}"),
+            // Skipping a record that other replicas apply would make their states diverge.
+            Err(error) => panic!("record {index} can't be decoded; upgrade this keeper: {error}"),
         };
         let departed = match &command {
             StateCommand::Depart(announcement) => Some(announcement.clone()),
@@ -475,13 +484,13 @@
                 observer.published(published);
             }
         }
-        if let Some(Waiter::Proposal(waiter)) = self.take_waiter(token) {
-            let _ = waiter.try_send(Ok(reply));
+        if let Some(PendingReply::Proposal(sender)) = self.take_pending(token) {
+            let _ = sender.try_send(Ok(reply));
         }
     }
 
-    /// Reports the whole state after a snapshot has replaced it.
-    fn report_state(&self) {
+    /// Passes the whole state to the observer after a snapshot has replaced it.
+    fn notify_restored(&self) {
         let Some(observer) = &self.observer else {
             return;
         };
@@ -494,27 +503,27 @@
     }
 
     fn reject(&mut self, token: Token, reason: RejectReason) {
-        match self.take_waiter(Some(token)) {
-            Some(Waiter::Proposal(reply)) => {
+        match self.take_pending(Some(token)) {
+            Some(PendingReply::Proposal(reply)) => {
                 let _ = reply.try_send(Err(reason));
             }
-            Some(Waiter::Change(reply)) => {
+            Some(PendingReply::Change(reply)) => {
                 let _ = reply.try_send(Err(reason));
             }
-            Some(Waiter::Read(reply)) => {
+            Some(PendingReply::Read(reply)) => {
                 let _ = reply.try_send(Err(reason));
             }
             None => {}
         }
     }
 
-    fn take_waiter(&mut self, token: Option<Token>) -> Option<Waiter> {
-        self.waiters.remove(&token?)
+    fn take_pending(&mut self, token: Option<Token>) -> Option<PendingReply> {
+        self.pending.remove(&token?)
     }
 
-    fn report(&self) -> Report {
-        Report {
-            status: self.replica.status(),
+    fn status(&self) -> KeeperStatus {
+        KeeperStatus {
+            replica_status: self.replica.status(),
             members: self.replica.members().iter().cloned().collect(),
             revision: self.state.config.revision(),
         }
@@ -526,18 +535,19 @@
 pub struct CoreHandle(SyncSender<Event>);
 
 impl CoreHandle {
-    /// Creates a handle and the queue that [`Core::run`] reads.
+    /// Creates a handle and the receiving end of its queue, for [`Core::run`].
     pub fn new() -> (Self, Receiver<Event>) {
-        let (tx, rx) = std::sync::mpsc::sync_channel(QUEUE);
+        let (tx, rx) = std::sync::mpsc::sync_channel(QUEUE_CAPACITY);
         (Self(tx), rx)
     }
 
-    /// Queues an event; `false` if the queue is full or the thread has ended.
+    /// Queues an event without waiting. Returns `false` if the queue is full or the thread has ended.
     pub fn send(&self, event: Event) -> bool {
         self.0.try_send(event).is_ok()
     }
 
-    /// Queues an event that has a reply and waits for it; `None` if it was not taken.
+    /// Queues an event and waits for its reply. Returns `None` if the event was not queued or the
+    /// thread ended without a reply.
     pub async fn ask<T>(&self, event: impl FnOnce(Sender<T>) -> Event) -> Option<T> {
         let (tx, rx) = async_channel::bounded(1);
         if !self.send(event(tx)) {
--- a/crates/auburnbridge_keeper/src/directory.rs
+++ b/crates/auburnbridge_keeper/src/directory.rs
@@ -1,25 +1,26 @@
-//! Addresses of the keepers.
+//! Lookup of keeper addresses.
 //!
-//! Where the settings name each keeper, the list is fixed. Where keepers find each other, a VM is
-//! named by its IP address and all keepers use one port, so that a name tells the address.
+//! Where the settings name every keeper, the list is fixed. Where keepers discover each other, each
+//! VM is named by its IP address and all keepers use the same port, so the address follows from the
+//! name.
 
 use std::collections::HashMap;
 
 use auburnbridge_peer::PeerAddress;
 use auburnbridge_types::VmId;
 
-/// Finds the addresses of keepers.
+/// Maps VMs to the addresses of their keepers.
 #[derive(Clone, Debug, Default)]
-pub struct Directory {
-    listed: HashMap<VmId, PeerAddress>,
+pub struct PeerDirectory {
+    configured: HashMap<VmId, PeerAddress>,
     shared_port: Option<u16>,
 }
 
-impl Directory {
-    /// Lists the keepers of the settings.
-    pub fn listed(keepers: &[PeerAddress]) -> Self {
+impl PeerDirectory {
+    /// Creates a directory of the keepers named in the settings.
+    pub fn new(keepers: &[PeerAddress]) -> Self {
         Self {
-            listed: keepers
+            configured: keepers
                 .iter()
                 .map(|keeper| (keeper.vm.clone(), keeper.clone()))
                 .collect(),
@@ -27,17 +28,18 @@
         }
     }
 
-    /// Derives the addresses of other keepers from their names, which are IP addresses.
+    /// Derives the addresses of keepers that are not in the settings from the names of their VMs,
+    /// which are IP addresses, and a common port.
     #[must_use]
     pub fn with_shared_port(mut self, port: u16) -> Self {
         self.shared_port = Some(port);
         self
     }
 
-    /// The address of the keeper on `vm`.
+    /// Returns the address of the keeper on `vm`.
     pub fn find(&self, vm: &VmId) -> Option<PeerAddress> {
-        if let Some(listed) = self.listed.get(vm) {
-            return Some(listed.clone());
+        if let Some(configured) = self.configured.get(vm) {
+            return Some(configured.clone());
         }
         Some(PeerAddress::at(vm.ip()?, self.shared_port?))
     }
--- a/crates/auburnbridge_keeper/src/formation.rs
+++ b/crates/auburnbridge_keeper/src/formation.rs
@@ -1,10 +1,11 @@
-//! How a keeper finds its group: founding a new one, taking over a list, or joining as a replacement.
+//! Group formation: a keeper founds a new group, adopts the member list of an existing one, or joins
+//! as a replacement.
 //!
-//! The keeper that stands first in the settings founds the group, and only if every other one says
-//! that it is in none; the others take the list over from any member that lists their folder. Where
-//! the settings name only a few keepers, the rest ask those to be added. An
-//! empty folder on the VM of a member is therefore never taken for the member: it is not in the
-//! list, and asks the leader to be added as a learner.
+//! Only the first keeper in the settings founds the group, and only if every other keeper reports
+//! that it has no group. The others adopt the member list from any member whose list contains their
+//! data folder. Where the settings name only some of the keepers, the remaining ones ask these to be
+//! added. An empty data folder on the VM of a member is therefore never mistaken for the member: it
+//! is not in the list, so the keeper asks the leader to be added as a learner.
 
 use std::sync::Arc;
 
@@ -16,20 +17,20 @@
 use parking_lot::Mutex;
 
 use crate::core::{CoreHandle, Event};
-use crate::directory::Directory;
+use crate::directory::PeerDirectory;
 
-const RETRY: Millis = Millis(200);
+const RETRY_INTERVAL: Millis = Millis(200);
 const CALL_TIMEOUT: Millis = Millis(1_000);
 
-/// Brings a keeper into its group.
+/// Task that makes a keeper a voting member of its group.
 pub(crate) struct Formation {
     pub(crate) vm: VmId,
     pub(crate) replica: ReplicaId,
-    /// The keepers of the settings in their order; they may change while the process runs.
+    /// The keepers in the order of the settings; they may change while the process runs.
     pub(crate) keepers: Arc<Mutex<Vec<PeerAddress>>>,
-    /// Whether this keeper may found a group, which only the first start of a fleet does.
+    /// Whether this keeper may found a group, which happens only at the first start of a fleet.
     pub(crate) may_found: bool,
-    pub(crate) directory: Directory,
+    pub(crate) directory: PeerDirectory,
     pub(crate) transport: Arc<dyn Transport>,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) core: CoreHandle,
@@ -37,23 +38,23 @@
 
 enum Step {
     Done,
-    Wait,
+    Retry,
 }
 
 impl Formation {
-    /// Repeats until this keeper is a voting member.
+    /// Repeats the steps until this keeper is a voting member.
     pub(crate) async fn run(self) {
-        while let Step::Wait = self.step().await {
-            self.clock.sleep(RETRY).await;
+        while let Step::Retry = self.step().await {
+            self.clock.sleep(RETRY_INTERVAL).await;
         }
         info!("keeper vm={} replica={} is a voter", self.vm, self.replica);
     }
 
     async fn step(&self) -> Step {
-        let Some(report) = self.core.ask(|reply| Event::Report { reply }).await else {
-            return Step::Wait;
+        let Some(status) = self.core.ask(|reply| Event::Status { reply }).await else {
+            return Step::Retry;
         };
-        let own_role = report
+        let own_role = status
             .members
             .iter()
             .find(|member| member.replica == self.replica)
@@ -62,27 +63,27 @@
             return Step::Done;
         }
         let keepers = self.keepers.lock().clone();
-        let hellos = self.greet_others(&keepers, report.members.clone()).await;
+        let hellos = self.exchange_hellos(&keepers, status.members.clone()).await;
         if own_role.is_none()
             && let Some(members) = self
-                .listed_by(&hellos)
-                .or_else(|| self.found(&keepers, &hellos))
+                .find_own_group(&hellos)
+                .or_else(|| self.new_group(&keepers, &hellos))
         {
             self.core.send(Event::Bootstrap(members));
-            return Step::Wait;
+            return Step::Retry;
         }
         if hellos
             .iter()
             .flatten()
             .any(|hello| !hello.members.is_empty())
         {
-            self.ask_to_join(&keepers, &hellos).await;
+            self.request_join(&keepers, &hellos).await;
         }
-        Step::Wait
+        Step::Retry
     }
 
-    /// Asks every other keeper for its folder and group; `None` for one that doesn't answer.
-    async fn greet_others(
+    /// Asks every other keeper for its data folder and group; `None` for one that doesn't reply.
+    async fn exchange_hellos(
         &self,
         keepers: &[PeerAddress],
         members: Vec<Member>,
@@ -103,9 +104,9 @@
         hellos
     }
 
-    /// The list of a group that already names this folder as a voter; a learner gets the list with
-    /// the log.
-    fn listed_by(&self, hellos: &[Option<KeeperHello>]) -> Option<Members> {
+    /// Returns the member list of a group in which this data folder is already a voter. A learner
+    /// receives the list with the log.
+    fn find_own_group(&self, hellos: &[Option<KeeperHello>]) -> Option<Members> {
         hellos
             .iter()
             .flatten()
@@ -117,8 +118,12 @@
             .and_then(|hello| Members::new(hello.members.clone()))
     }
 
-    /// The list of a new group, if this keeper is to found it.
-    fn found(&self, keepers: &[PeerAddress], hellos: &[Option<KeeperHello>]) -> Option<Members> {
+    /// Returns the member list of a new group if this keeper may found it now.
+    fn new_group(
+        &self,
+        keepers: &[PeerAddress],
+        hellos: &[Option<KeeperHello>],
+    ) -> Option<Members> {
         if !self.may_found || keepers.first()?.vm != self.vm {
             return None;
         }
@@ -134,21 +139,21 @@
         Members::new(members)
     }
 
-    async fn ask_to_join(&self, keepers: &[PeerAddress], hellos: &[Option<KeeperHello>]) {
+    async fn request_join(&self, keepers: &[PeerAddress], hellos: &[Option<KeeperHello>]) {
         let request = Request::Join {
             replica: self.replica,
         };
         let mut candidates: Vec<PeerAddress> = keepers.to_vec();
         for member in hellos.iter().flatten().flat_map(|hello| &hello.members) {
-            let is_listed = candidates.iter().any(|keeper| keeper.vm == member.vm);
-            if !is_listed && let Some(keeper) = self.directory.find(&member.vm) {
+            let is_known = candidates.iter().any(|keeper| keeper.vm == member.vm);
+            if !is_known && let Some(keeper) = self.directory.find(&member.vm) {
                 candidates.push(keeper);
             }
         }
         for keeper in candidates.iter().filter(|keeper| keeper.vm != self.vm) {
             match self.call(keeper, &request).await {
                 Some(Reply::Done) => {
-                    debug!("keeper {} took a step of the join", keeper.vm);
+                    debug!("keeper {} accepted the join request", keeper.vm);
                     return;
                 }
                 Some(Reply::NotLeader {
@@ -158,7 +163,7 @@
                         continue;
                     };
                     if let Some(Reply::Done) = self.call(&leader, &request).await {
-                        debug!("keeper {} took a step of the join", leader.vm);
+                        debug!("keeper {} accepted the join request", leader.vm);
                     }
                     return;
                 }
@@ -170,7 +175,7 @@
     async fn call(&self, keeper: &PeerAddress, request: &Request) -> Option<Reply> {
         messages::call(self.transport.as_ref(), keeper, request, CALL_TIMEOUT)
             .await
-            .inspect_err(|error| debug!("keeper {} did not answer: {error}", keeper.vm))
+            .inspect_err(|error| debug!("keeper {} did not reply: {error}", keeper.vm))
             .ok()
     }
 }
--- a/crates/auburnbridge_keeper/src/gossip.rs
+++ b/crates/auburnbridge_keeper/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Tells the other keepers what this one hears, and follows the list of members.
+//! Forwards announcements and gateways to the other keepers, and keeps track of the group's members.
 
 use std::sync::Arc;
 
@@ -9,24 +9,24 @@
 
 use crate::catalogue::Catalogue;
 use crate::core::{CoreHandle, Event};
-use crate::directory::Directory;
+use crate::directory::PeerDirectory;
 use crate::view_cache::ViewCache;
 
-/// Interval at which the other keepers hear of announcements; a target that joins gets work after
-/// this and one round trip.
-const HEARD_INTERVAL: Millis = Millis(100);
-/// Turns of that interval between two looks at the members and at what is over.
-const HOUSEKEEPING_TURNS: u32 = 5;
-/// Longest wait for another keeper's list of targets at the start.
+/// Interval at which announcements are sent to the other keepers. A new target gets its first
+/// requests after this interval and one round trip.
+const GOSSIP_INTERVAL: Millis = Millis(100);
+/// Rounds of gossip between two updates of the member list and removals of expired entries.
+const HOUSEKEEPING_ROUNDS: u32 = 5;
+/// Longest wait for another keeper's list of targets after the start.
 const FETCH_TIMEOUT: Millis = Millis(500);
 
-/// Gossip of one keeper with the others.
+/// Task that exchanges announcements with the other keepers.
 pub(crate) struct Gossip {
-    pub(crate) own: VmId,
+    pub(crate) own_vm: VmId,
     pub(crate) catalogue: Arc<Catalogue>,
     pub(crate) cache: ViewCache,
     pub(crate) core: CoreHandle,
-    pub(crate) directory: Directory,
+    pub(crate) directory: PeerDirectory,
     pub(crate) transport: Arc<dyn Transport>,
     pub(crate) clock: Arc<dyn Clock>,
 }
@@ -34,33 +34,33 @@
 impl Gossip {
     pub(crate) async fn run(self) {
         let mut others = Vec::new();
-        let mut has_targets = false;
-        let mut turn: u32 = 0;
+        let mut has_fetched_targets = false;
+        let mut round: u32 = 0;
         loop {
-            if turn.is_multiple_of(HOUSEKEEPING_TURNS) {
+            if round.is_multiple_of(HOUSEKEEPING_ROUNDS) {
                 let members = self.other_members().await;
-                self.tell_new_members(&others, &members);
+                self.sync_new_members(&others, &members);
                 others = members;
                 self.catalogue.expire();
-                self.cache_view();
-                if !has_targets {
-                    has_targets = self.fetch_targets(&others).await;
+                self.save_view();
+                if !has_fetched_targets {
+                    has_fetched_targets = self.fetch_targets(&others).await;
                 }
             }
-            turn += 1;
+            round += 1;
             if let Some(heard) = self.catalogue.take_unsent() {
-                self.tell(&others, heard);
+                self.send_to(&others, heard);
             }
-            self.clock.sleep(HEARD_INTERVAL).await;
+            self.clock.sleep(GOSSIP_INTERVAL).await;
         }
     }
 
-    /// Tells keepers that have become members what was announced before, since from now on they hear
-    /// only what is new.
-    fn tell_new_members(&self, before: &[PeerAddress], now: &[PeerAddress]) {
-        let joined: Vec<PeerAddress> = now
+    /// Sends all known announcements to keepers that have become members, since later messages hold
+    /// only new ones.
+    fn sync_new_members(&self, previous: &[PeerAddress], current: &[PeerAddress]) {
+        let joined: Vec<PeerAddress> = current
             .iter()
-            .filter(|keeper| !before.contains(keeper))
+            .filter(|keeper| !previous.contains(keeper))
             .cloned()
             .collect();
         if joined.is_empty() {
@@ -70,34 +70,34 @@
             targets: self.catalogue.targets(),
             gateways: Vec::new(),
         };
-        self.tell(&joined, heard);
+        self.send_to(&joined, heard);
     }
 
-    fn cache_view(&self) {
-        let Some(view) = self.catalogue.changed_view() else {
+    fn save_view(&self) {
+        let Some(view) = self.catalogue.take_changed_view() else {
             return;
         };
         if !self.cache.store(view) {
-            self.catalogue.view_not_stored();
+            self.catalogue.mark_view_unsaved();
         }
     }
 
     async fn other_members(&self) -> Vec<PeerAddress> {
-        let Some(report) = self.core.ask(|reply| Event::Report { reply }).await else {
+        let Some(status) = self.core.ask(|reply| Event::Status { reply }).await else {
             return Vec::new();
         };
-        let vms: Vec<VmId> = report.members.into_iter().map(|member| member.vm).collect();
+        let vms: Vec<VmId> = status.members.into_iter().map(|member| member.vm).collect();
         let others = vms
             .iter()
-            .filter(|vm| **vm != self.own)
+            .filter(|vm| **vm != self.own_vm)
             .filter_map(|vm| self.directory.find(vm))
             .collect();
         self.catalogue.set_keepers(vms);
         others
     }
 
-    /// Asks one keeper for its targets; a target that announced itself there may come here only
-    /// after its departure.
+    /// Fetches the list of targets from one keeper. A target that announced itself to that keeper might
+    /// not contact this one before its departure.
     async fn fetch_targets(&self, others: &[PeerAddress]) -> bool {
         for keeper in others {
             let transport = self.transport.as_ref();
@@ -111,20 +111,20 @@
                     return true;
                 }
                 Ok(_) => {}
-                Err(error) => debug!("keeper {} gave no targets: {error}", keeper.vm),
+                Err(error) => debug!("can't fetch targets from keeper {}: {error}", keeper.vm),
             }
         }
         false
     }
 
-    fn tell(&self, others: &[PeerAddress], heard: messages::Heard) {
+    fn send_to(&self, others: &[PeerAddress], heard: messages::Heard) {
         match Request::Heard(heard).encode() {
             Ok(body) => {
                 for keeper in others {
                     self.transport.send(keeper, body.clone());
                 }
             }
-            Err(error) => warn!("announcements can't be sent: {error}"),
+            Err(error) => warn!("can't encode announcements: {error}"),
         }
     }
 }
--- a/crates/auburnbridge_keeper/src/group_client.rs
+++ b/crates/auburnbridge_keeper/src/group_client.rs
@@ -1,4 +1,4 @@
-//! Puts commands and reads to the keeper that leads, from any keeper.
+//! Sends commands and reads to the leader of the group, from any keeper.
 
 use std::sync::Arc;
 
@@ -11,55 +11,57 @@
 use log::debug;
 use strum::{Display, IntoStaticStr};
 
-use crate::directory::Directory;
+use crate::directory::PeerDirectory;
 use crate::server::KeeperServer;
 use crate::state::StateCommand;
 
-/// Wait before another try while no leader is known; an election takes about a second.
-const NO_LEADER_WAIT: Millis = Millis(60);
-/// Longest wait for the leader's reply to one try.
-const TRY_TIMEOUT: Millis = Millis(700);
+/// Wait between attempts while no leader is known; an election takes about a second.
+const RETRY_INTERVAL: Millis = Millis(60);
+/// Longest wait for the leader's reply to one attempt.
+const ATTEMPT_TIMEOUT: Millis = Millis(700);
 
-/// Why an order or a read got no result.
+/// Reason why a command or a read got no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Unavailable {
-    /// No keeper that leads answered in time; an order may still take effect.
+    /// No leader replied in time; a command may still take effect.
     NoLeader,
 }
 
-/// Client of the group for the process of one keeper.
+/// Client of the group that one keeper's process uses.
 pub struct GroupClient {
-    pub(crate) own: VmId,
+    pub(crate) own_vm: VmId,
     pub(crate) server: Arc<KeeperServer>,
-    pub(crate) directory: Directory,
+    pub(crate) directory: PeerDirectory,
     pub(crate) transport: Arc<dyn Transport>,
     pub(crate) clock: Arc<dyn Clock>,
 }
 
 impl GroupClient {
-    /// Puts a document in force. Sending it again is harmless, since its version decides.
-    pub async fn publish(&self, order: Publish, limit: Millis) -> Result<(), Unavailable> {
-        let local = || StateCommand::Publish(order.clone());
-        let request = Request::Publish(order.clone());
-        match self.submit(local, &request, limit).await? {
+    /// Publishes a document. Repeating the call is harmless, since versions decide which document
+    /// is in force.
+    pub async fn publish(&self, publish: Publish, timeout: Millis) -> Result<(), Unavailable> {
+        let command = || StateCommand::Publish(publish.clone());
+        let request = Request::Publish(publish.clone());
+        match self.submit(command, &request, timeout).await? {
             Reply::Published(_) => Ok(()),
             _ => Err(Unavailable::NoLeader),
         }
     }
 
-    /// Records a departure. Recording it again is harmless.
-    pub async fn depart(&self, target: Announcement, limit: Millis) -> Result<(), Unavailable> {
-        let local = || StateCommand::Depart(target.clone());
+    /// Records a departure. Repeating the call is harmless.
+    pub async fn depart(&self, target: Announcement, timeout: Millis) -> Result<(), Unavailable> {
+        let command = || StateCommand::Depart(target.clone());
         let request = Request::Depart(target.clone());
-        match self.submit(local, &request, limit).await? {
+        match self.submit(command, &request, timeout).await? {
             Reply::Done => Ok(()),
             _ => Err(Unavailable::NoLeader),
         }
     }
 
-    /// The document that is in force, newer than any acknowledgement before the call.
-    pub async fn read(&self, limit: Millis) -> Result<Option<Publish>, Unavailable> {
+    /// Reads the document in force. The result reflects every publication that was acknowledged
+    /// before the call.
+    pub async fn read(&self, timeout: Millis) -> Result<Option<Publish>, Unavailable> {
         let reading = async {
             loop {
                 let reply = match self.server.read_published().await {
@@ -71,44 +73,44 @@
                 if let Some(Reply::Document(document)) = reply {
                     return Ok(document);
                 }
-                self.clock.sleep(NO_LEADER_WAIT).await;
+                self.clock.sleep(RETRY_INTERVAL).await;
             }
         };
-        reading.or(self.expire(limit)).await
+        reading.or(self.time_out(timeout)).await
     }
 
     async fn submit(
         &self,
-        local: impl Fn() -> StateCommand,
+        command: impl Fn() -> StateCommand,
         request: &Request,
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<Reply, Unavailable> {
         let submitting = async {
             loop {
-                let reply = match self.server.propose(local()).await {
+                let reply = match self.server.propose(command()).await {
                     Reply::NotLeader { leader } => self.forward(leader, request).await,
                     reply => Some(reply),
                 };
                 match reply {
                     Some(reply @ (Reply::Published(_) | Reply::Done)) => return Ok(reply),
-                    Some(_) | None => self.clock.sleep(NO_LEADER_WAIT).await,
+                    Some(_) | None => self.clock.sleep(RETRY_INTERVAL).await,
                 }
             }
         };
-        submitting.or(self.expire(limit)).await
+        submitting.or(self.time_out(timeout)).await
     }
 
-    async fn expire<T>(&self, limit: Millis) -> Result<T, Unavailable> {
-        self.clock.sleep(limit).await;
+    async fn time_out<T>(&self, timeout: Millis) -> Result<T, Unavailable> {
+        self.clock.sleep(timeout).await;
         Err(Unavailable::NoLeader)
     }
 
     async fn forward(&self, leader: Option<VmId>, request: &Request) -> Option<Reply> {
-        let leader = leader.filter(|leader| *leader != self.own)?;
+        let leader = leader.filter(|leader| *leader != self.own_vm)?;
         let address = self.directory.find(&leader)?;
-        messages::call(self.transport.as_ref(), &address, request, TRY_TIMEOUT)
+        messages::call(self.transport.as_ref(), &address, request, ATTEMPT_TIMEOUT)
             .await
-            .inspect_err(|error| debug!("leader {leader} did not answer: {error}"))
+            .inspect_err(|error| debug!("leader {leader} did not reply: {error}"))
             .ok()
     }
 }
--- a/crates/auburnbridge_keeper/src/lib.rs
+++ b/crates/auburnbridge_keeper/src/lib.rs
@@ -1,4 +1,5 @@
-//! The keeper role: the replicated log with its store, state machines and server.
+//! The keeper role: a replica of the log with its store, its state machines and the server for other
+//! processes.
 
 mod catalogue;
 mod control;
@@ -18,9 +19,9 @@
 pub use control::ControlService;
 pub use core::{
     Admission, CommitCounts, CommitObserver, Core, CoreError, CoreHandle, CoreOptions, Event,
-    LogTransport, QUEUE, Report,
+    KeeperStatus, LogTransport, QUEUE_CAPACITY,
 };
-pub use directory::Directory;
+pub use directory::PeerDirectory;
 pub use group_client::{GroupClient, Unavailable};
 pub use peers::PeerSecurity;
 pub use run::{ControlOptions, Keeper, KeeperError, KeeperOptions};
--- a/crates/auburnbridge_keeper/src/operator_store.rs
+++ b/crates/auburnbridge_keeper/src/operator_store.rs
@@ -1,4 +1,4 @@
-//! Connects the administration API to the log.
+//! Connects the administration API to the replicated log.
 
 use std::sync::Arc;
 
@@ -10,29 +10,29 @@
 use log::debug;
 
 use crate::core::{CoreHandle, Event};
-use crate::directory::Directory;
+use crate::directory::PeerDirectory;
 use crate::server::KeeperServer;
 use crate::state::StateCommand;
 
-/// Time for an edit that another keeper leads: two syncs and a few rounds.
+/// Longest wait for the leader's reply to a forwarded edit: two syncs and a few round trips.
 const FORWARD_TIMEOUT: Millis = Millis(3_000);
-/// Forwards of one edit; the leader may change meanwhile.
-const FORWARDS: usize = 4;
+/// Maximum number of forwards of one edit; the leader may change meanwhile.
+const MAX_FORWARDS: usize = 4;
 
-/// A keeper's state for the administration API.
+/// Gives the administration API access to a keeper's rules and status.
 pub struct OperatorStore {
     server: Arc<KeeperServer>,
     core: CoreHandle,
-    directory: Directory,
+    directory: PeerDirectory,
     transport: Arc<dyn Transport>,
 }
 
 impl OperatorStore {
-    /// Creates the store of one keeper.
+    /// Creates the store of one keeper; `directory` and `transport` reach the leader.
     pub fn new(
         server: Arc<KeeperServer>,
         core: CoreHandle,
-        directory: Directory,
+        directory: PeerDirectory,
         transport: Arc<dyn Transport>,
     ) -> Self {
         Self {
@@ -43,11 +43,12 @@
         }
     }
 
-    /// Proposes here or at the leader. An edit has an id, so that sending it again is harmless.
+    /// Proposes an edit here, or forwards it to the leader. An edit has an id, so resending it is
+    /// harmless.
     async fn submit_edit(&self, edit: Edit) -> Result<EditReply, StoreError> {
         let mut may_be_proposed = false;
         let mut reply = self.server.propose(StateCommand::Edit(edit.clone())).await;
-        for _ in 0..FORWARDS {
+        for _ in 0..MAX_FORWARDS {
             match reply {
                 Reply::Edit(reply) => return Ok(reply),
                 Reply::NotLeader {
@@ -68,7 +69,8 @@
         }
     }
 
-    /// The leader's reply, and whether the edit may be proposed there without a reply.
+    /// Forwards an edit to the leader. Returns its reply, and whether the edit may have been proposed
+    /// although no reply arrived.
     async fn forward(&self, leader: &VmId, edit: &Edit) -> (Reply, bool) {
         let Some(address) = self.directory.find(leader) else {
             return (Reply::Refused, false);
@@ -78,20 +80,20 @@
         match messages::call(transport, &address, &request, FORWARD_TIMEOUT).await {
             Ok(reply) => (reply, false),
             Err(error) => {
-                debug!("the edit could not be forwarded to {leader}: {error}");
+                debug!("can't forward the edit to {leader}: {error}");
                 (Reply::Refused, error.delivery() != Delivery::NotReceived)
             }
         }
     }
 
     async fn fleet_status(&self) -> Result<FleetStatus, StoreError> {
-        let report = self
+        let status = self
             .core
-            .ask(|reply| Event::Report { reply })
+            .ask(|reply| Event::Status { reply })
             .await
             .ok_or(StoreError::Unavailable)?;
         Ok(FleetStatus {
-            revision: report.revision,
+            revision: status.revision,
             vms: self.server.entries(),
         })
     }
@@ -121,7 +123,7 @@
         Box::pin(self.fleet_status())
     }
 
-    /// Targets announce themselves to entries; a keeper knows none.
+    /// Always unavailable: targets announce themselves to entries, so a keeper does not list them.
     fn targets(&self) -> BoxFuture<'_, Result<Vec<TargetStatus>, StoreError>> {
         Box::pin(async { Err(StoreError::Unavailable) })
     }
--- a/crates/auburnbridge_keeper/src/peers.rs
+++ b/crates/auburnbridge_keeper/src/peers.rs
@@ -1,4 +1,4 @@
-//! The way to the other processes: keys, transport and server, or none of the keys.
+//! Communication with other processes, either over mutual TLS or unprotected.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,23 +15,23 @@
 
 use crate::run::{KeeperError, KeeperOptions};
 
-/// Longest wait for a connection to another process. A VM that is off answers nothing.
+/// Longest wait for a connection to another process. A VM that is switched off sends no refusal.
 const CONNECT_TIMEOUT: Millis = Millis(400);
-/// Waits between attempts to connect, which begin with the first. After a loss of power everywhere
-/// the group forms as soon as the last wait allows.
+/// First and longest wait between attempts to connect. After a complete power loss, the longest wait
+/// bounds how soon the group can form again.
 const FIRST_BACKOFF: Millis = Millis(20);
 const LAST_BACKOFF: Millis = Millis(200);
 
 /// How messages between processes are protected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerSecurity {
-    /// Mutual TLS with the certificate and key in this folder.
+    /// Mutual TLS with the certificate and private key in this folder.
     MutualTls(PathBuf),
     /// Neither authenticated nor encrypted.
     Unprotected,
 }
 
-/// The server for other processes.
+/// A running server for other processes.
 pub(crate) enum RunningServer {
     MutualTls(PeerServer),
     Plain(PlainServer),
@@ -53,7 +53,7 @@
     }
 }
 
-/// Keys of the process, where there are any, and what is made with them.
+/// Keys of the process, if it has any, and the transport to other processes.
 pub(crate) struct PeerSetup {
     pub(crate) keys: Option<Arc<KeyRing>>,
     options: Options,
--- a/crates/auburnbridge_keeper/src/run.rs
+++ b/crates/auburnbridge_keeper/src/run.rs
@@ -30,7 +30,7 @@
     Admission, CommitCounts, CommitObserver, Core, CoreError, CoreHandle, CoreOptions, Event,
     LogTransport,
 };
-use crate::directory::Directory;
+use crate::directory::PeerDirectory;
 use crate::formation::Formation;
 use crate::gossip::Gossip;
 use crate::group_client::GroupClient;
@@ -39,68 +39,68 @@
 use crate::server::KeeperServer;
 use crate::view_cache::{ViewCache, read_view};
 
-/// Checks whether another keeper leads before a planned stop goes on; about one second.
-const HAND_OVER_CHECKS: usize = 50;
-const HAND_OVER_WAIT: Duration = Duration::from_millis(20);
+/// Checks for a new leader before a planned stop continues; together they take about one second.
+const TRANSFER_CHECKS: usize = 50;
+const TRANSFER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const KEY_RELOAD_INTERVAL: Millis = Millis(30_000);
-/// Interval of heartbeats that the log has by default.
-const DEFAULT_HEARTBEAT: Millis = Millis(75);
-/// Size at which a segment of the log is closed by default.
+/// Default heartbeat interval of the log.
+const DEFAULT_HEARTBEAT_INTERVAL: Millis = Millis(75);
+/// Default size at which a segment of the log is closed.
 const DEFAULT_SEGMENT_SIZE: ByteSize = ByteSize(16 << 20);
 /// Ticks per heartbeat interval.
 const TICKS_PER_HEARTBEAT: u64 = 5;
 
-/// The control interface of a platform.
+/// Options of the control interface.
 #[derive(Clone)]
 pub struct ControlOptions {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Names and formats of the platform.
+    /// Names and formats that the platform uses.
     pub dialect: Arc<dyn Dialect>,
-    /// Longest body of a call.
+    /// Largest body of a call.
     pub body_limit: ByteSize,
-    /// Where the metrics of the calls are served, if anywhere.
+    /// Address on which the metrics of the calls are served, if they are.
     pub metrics_address: Option<SocketAddr>,
 }
 
-/// What a keeper needs to run.
+/// Options of a [`Keeper`].
 #[derive(Clone)]
 pub struct KeeperOptions {
-    /// Its VM.
+    /// VM of the keeper.
     pub vm: VmId,
-    /// Where it listens for other processes.
+    /// Address on which it listens for other processes.
     pub peer_address: SocketAddr,
     /// How messages between processes are protected.
     pub security: PeerSecurity,
-    /// Folder of its durable state.
+    /// Folder of its persistent state.
     pub data_folder: PathBuf,
-    /// Keepers of the group, this one included where it is among them; the first one founds the
-    /// group. They may be replaced while the keeper runs.
+    /// Keepers named in the settings, which may include this one; the first one founds the group.
+    /// The list may be replaced while the keeper runs.
     pub keepers: Arc<Mutex<Vec<PeerAddress>>>,
     /// Whether this keeper may found a group.
     pub may_found: bool,
-    /// Who may join, and how many voters an order needs.
+    /// Who may join the group, and how many voters it needs to accept commands.
     pub admission: Admission,
-    /// Whether VMs are named by their IP addresses, and keepers use the port of `peer_address`.
+    /// Whether VMs are named by their IP addresses and all keepers use the port of `peer_address`.
     pub vms_are_addresses: bool,
-    /// Interval of the leader's heartbeats, of which the ticks are a fraction.
+    /// Interval of the leader's heartbeats; the tick interval is a fraction of it.
     pub heartbeat_interval: Millis,
-    /// The control interface, if it is served.
+    /// Options of the control interface, if it is served.
     pub control: Option<ControlOptions>,
-    /// Settings of the log.
+    /// Configuration of the replicated log.
     pub log: Config,
     /// Size at which a segment of the log is closed.
     pub segment_size: ByteSize,
-    /// Statsd server that gets the metrics, if any.
+    /// Address of the statsd server that receives the metrics, if any.
     pub metrics_address: Option<SocketAddr>,
-    /// Where it serves the administration API, if it does.
+    /// Address on which the administration API is served, if it is.
     pub operator_address: Option<SocketAddr>,
-    /// Keys that the API accepts.
+    /// Operator keys that the administration API accepts.
     pub operator_keys: OperatorKeys,
 }
 
 impl KeeperOptions {
-    /// Options of a keeper that stands with all others in its settings; the rest has its defaults.
+    /// Creates the options of a keeper whose settings name all keepers; other options have defaults.
     pub fn listed(
         own: PeerAddress,
         security: PeerSecurity,
@@ -119,7 +119,7 @@
                 least_voters: 1,
             },
             vms_are_addresses: false,
-            heartbeat_interval: DEFAULT_HEARTBEAT,
+            heartbeat_interval: DEFAULT_HEARTBEAT_INTERVAL,
             control: None,
             log: Config::default(),
             segment_size: DEFAULT_SEGMENT_SIZE,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Reason why a keeper can't start or had to stop.
+/// Error from starting or running a keeper; the report holds the cause.
 #[derive(Debug)]
 pub struct KeeperError;
 
@@ -151,17 +151,19 @@
 }
 
 impl Keeper {
-    /// Opens the data folder and starts to listen and to look for the group.
+    /// Opens the data folder, starts to listen, and starts the tasks that find the group.
+    ///
+    /// Fails if the keys or the data folder can't be read or an address can't be bound.
     pub async fn start(options: KeeperOptions) -> Result<Self, Report<KeeperError>> {
         let clock: Arc<dyn Clock> = Arc::new(BootClock::new());
         let peers = PeerSetup::new(&options, &clock)?;
         let catalogue = Arc::new(Catalogue::new(Arc::clone(&clock), rand::random()));
         if let Some(view) = read_view(&options.data_folder) {
             info!(targets = view.targets.len(); "keeper begins with the cached view");
-            catalogue.begin_with(view);
+            catalogue.load_view(view);
         }
         let cache = ViewCache::start(&options.data_folder).change_context(KeeperError)?;
-        let directory = directory_of(&options);
+        let directory = peer_directory(&options);
         let (replica, core) = open_core(&options, &peers, &directory, &clock, &catalogue)?;
         let (handle, events) = CoreHandle::new();
         let thread = thread::Builder::new()
@@ -180,7 +182,7 @@
             options.vm,
             peer_server.address()
         );
-        let assembly = Assembly {
+        let components = Components {
             core: handle.clone(),
             server: Arc::clone(&server),
             catalogue,
@@ -188,8 +190,8 @@
             transport: Arc::clone(&peers.transport),
             clock,
         };
-        assembly.serve_interfaces(&options).await?;
-        assembly.spawn_tasks(options, replica, cache, peers.keys);
+        components.serve_interfaces(&options).await?;
+        components.spawn_tasks(options, replica, cache, peers.keys);
         Ok(Self {
             core: handle,
             thread,
@@ -198,48 +200,51 @@
         })
     }
 
-    /// The keeper's answers, for the administration API.
+    /// Returns the server that handles requests of other processes.
     pub fn server(&self) -> Arc<KeeperServer> {
         Arc::clone(&self.server)
     }
 
-    /// Whether the thread that owns the log has ended; [`Keeper::stop`] gives the reason.
+    /// Whether the [`Core`] thread has ended; [`Keeper::stop`] returns the reason.
     pub fn has_failed(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// Waits until another keeper leads, so that no request waits for an election timeout.
-    async fn hand_over_leadership(&self) {
+    /// Resigns and waits until this keeper no longer leads, so that no request has to wait for an
+    /// election timeout.
+    async fn transfer_leadership(&self) {
         if !self.core.send(Event::Resign) {
             return;
         }
-        for _ in 0..HAND_OVER_CHECKS {
-            let report = self.core.ask(|reply| Event::Report { reply }).await;
-            if report.is_none_or(|report| report.status.role != "leader") {
+        for _ in 0..TRANSFER_CHECKS {
+            let status = self.core.ask(|reply| Event::Status { reply }).await;
+            if status.is_none_or(|status| status.replica_status.role != "leader") {
                 return;
             }
-            task::sleep(HAND_OVER_WAIT).await;
+            task::sleep(TRANSFER_CHECK_INTERVAL).await;
         }
     }
 
-    /// Stops after the events that are queued.
+    /// Transfers the leadership and stops after the queued events are handled.
+    ///
+    /// Fails if the [`Core`] thread ended with an error or panicked.
     pub async fn stop(self) -> Result<CommitCounts, Report<KeeperError>> {
-        self.hand_over_leadership().await;
+        self.transfer_leadership().await;
         if !self.core.send(Event::Stop) {
-            warn!("the keeper's queue is full or its thread has ended");
+            warn!("can't queue the stop: the keeper's queue is full or its thread has ended");
         }
         let thread = self.thread;
         let ended = task::spawn_blocking(move || thread.join()).await;
         self.peer_server.close().await;
         match ended {
             Ok(result) => result.change_context(KeeperError),
-            Err(_) => Err(Report::new(KeeperError).attach("the keeper's thread panicked")),
+            Err(_) => Err(Report::new(KeeperError).attach("the keeper-core thread panicked")),
         }
     }
 }
 
-fn directory_of(options: &KeeperOptions) -> Directory {
-    let directory = Directory::listed(&options.keepers.lock());
+fn peer_directory(options: &KeeperOptions) -> PeerDirectory {
+    let directory = PeerDirectory::new(&options.keepers.lock());
     if options.vms_are_addresses {
         directory.with_shared_port(options.peer_address.port())
     } else {
@@ -247,11 +252,11 @@
     }
 }
 
-/// Recovers the replica from the data folder.
+/// Recovers the replica from the data folder and creates its core.
 fn open_core(
     options: &KeeperOptions,
     peers: &PeerSetup,
-    directory: &Directory,
+    directory: &PeerDirectory,
     clock: &Arc<dyn Clock>,
     catalogue: &Arc<Catalogue>,
 ) -> Result<(ReplicaId, Core), Report<KeeperError>> {
@@ -285,17 +290,17 @@
     Ok((id, core))
 }
 
-/// The parts of a keeper that its interfaces and tasks use.
-struct Assembly {
+/// Components of a keeper that its interfaces and tasks share.
+struct Components {
     core: CoreHandle,
     server: Arc<KeeperServer>,
     catalogue: Arc<Catalogue>,
-    directory: Directory,
+    directory: PeerDirectory,
     transport: Arc<dyn Transport>,
     clock: Arc<dyn Clock>,
 }
 
-impl Assembly {
+impl Components {
     async fn serve_interfaces(&self, options: &KeeperOptions) -> Result<(), Report<KeeperError>> {
         if let Some(address) = options.operator_address {
             let store = OperatorStore::new(
@@ -316,7 +321,7 @@
     async fn serve_control(
         &self,
         control: &ControlOptions,
-        own: VmId,
+        own_vm: VmId,
     ) -> Result<(), Report<KeeperError>> {
         let metrics: Arc<ProcessMetrics> = Arc::default();
         if let Some(address) = control.metrics_address {
@@ -328,7 +333,7 @@
             dialect: Arc::clone(&control.dialect),
             catalogue: Arc::clone(&self.catalogue),
             group: Arc::new(GroupClient {
-                own,
+                own_vm,
                 server: Arc::clone(&self.server),
                 directory: self.directory.clone(),
                 transport: Arc::clone(&self.transport),
@@ -350,7 +355,7 @@
         keys: Option<Arc<KeyRing>>,
     ) {
         let gossip = Gossip {
-            own: options.vm.clone(),
+            own_vm: options.vm.clone(),
             catalogue: self.catalogue,
             cache,
             core: self.core.clone(),
@@ -412,7 +417,7 @@
 
 struct PeerLogTransport {
     transport: Arc<dyn Transport>,
-    directory: Directory,
+    directory: PeerDirectory,
 }
 
 impl LogTransport for PeerLogTransport {
@@ -423,7 +428,7 @@
         };
         match Request::Log(Box::new(message)).encode() {
             Ok(body) => self.transport.send(&address, body),
-            Err(error) => warn!("a message of the log can't be sent: {error}"),
+            Err(error) => warn!("can't encode a message of the log: {error}"),
         }
     }
 }
--- a/crates/auburnbridge_keeper/src/server.rs
+++ b/crates/auburnbridge_keeper/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of other processes.
+//! Handles requests from other processes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,28 +15,28 @@
 use crate::core::{CoreHandle, Event};
 use crate::state::{StateCommand, StateReply};
 
-/// Entries that are listed in the status; design scale has 5,300.
-const ENTRY_LIMIT: usize = 8_192;
+/// Number of recorded entries above which expired ones are removed; the design scale has 5,300.
+const ENTRY_PRUNE_THRESHOLD: usize = 8_192;
 /// Time after which an entry that fetches no rules is no longer listed.
-const ENTRY_FORGET: Millis = Millis(10 * 60 * 1000);
+const ENTRY_EXPIRY: Millis = Millis(10 * 60 * 1000);
 
-/// What an entry said when it last fetched rules.
-struct SeenEntry {
+/// State of an entry when it last fetched rules.
+struct EntryRecord {
     revision: Revision,
     data_centre: DataCentre,
-    seen: Timestamp,
+    last_seen: Timestamp,
 }
 
-/// A keeper towards the other processes.
+/// Serves requests of other processes and proposals of this one.
 pub struct KeeperServer {
     core: CoreHandle,
     clock: Arc<dyn Clock>,
-    entries: Mutex<BTreeMap<VmId, SeenEntry>>,
+    entries: Mutex<BTreeMap<VmId, EntryRecord>>,
     catalogue: Arc<Catalogue>,
 }
 
 impl KeeperServer {
-    /// Creates the server of a keeper.
+    /// Creates a server that passes commands to `core`.
     pub fn new(core: CoreHandle, clock: Arc<dyn Clock>, catalogue: Arc<Catalogue>) -> Self {
         Self {
             catalogue,
@@ -46,16 +46,16 @@
         }
     }
 
-    /// Answers one request of a process with the role in its certificate.
-    pub async fn answer(&self, from: &PeerIdentity, request: Request) -> Reply {
+    /// Handles one request. The role of the sender decides which requests are accepted.
+    pub async fn handle_request(&self, from: &PeerIdentity, request: Request) -> Reply {
         match (request, from.role) {
             (Request::Ledger(command), Role::Entry) => {
                 self.propose(StateCommand::Ledger(command)).await
             }
-            // Another keeper forwards what an operator asked of it.
+            // Another keeper forwards the edit of an operator.
             (Request::Edit(edit), Role::Keeper) => self.propose(StateCommand::Edit(edit)).await,
-            (Request::Publish(order), Role::Keeper) => {
-                self.propose(StateCommand::Publish(order)).await
+            (Request::Publish(publish), Role::Keeper) => {
+                self.propose(StateCommand::Publish(publish)).await
             }
             (Request::Depart(target), Role::Keeper) => {
                 self.propose(StateCommand::Depart(target)).await
@@ -71,9 +71,13 @@
             (Request::FetchTargets, Role::Keeper) => Reply::Targets(self.catalogue.targets()),
             (Request::FetchRules { have, data_centre }, role) => {
                 if role == Role::Entry {
-                    self.note_entry(&from.vm, have, data_centre);
+                    self.record_entry(&from.vm, have, data_centre);
                 }
-                match self.core.ask(|reply| Event::Rules { have, reply }).await {
+                match self
+                    .core
+                    .ask(|reply| Event::RulesDelta { have, reply })
+                    .await
+                {
                     Some(delta) => Reply::Rules(delta),
                     None => Reply::Busy,
                 }
@@ -81,13 +85,13 @@
             (Request::Hello(_), Role::Keeper) => self.hello().await,
             (Request::Join { replica }, Role::Keeper) => {
                 let vm = from.vm.clone();
-                let joined = self
+                let result = self
                     .core
                     .ask(|reply| Event::Join { vm, replica, reply })
                     .await;
-                match joined {
+                match result {
                     Some(Ok(())) => Reply::Done,
-                    Some(Err(reason)) => rejection(reason),
+                    Some(Err(reason)) => rejection_reply(reason),
                     None => Reply::Busy,
                 }
             }
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Puts a command through the log.
+    /// Proposes a command and waits until it is applied or rejected.
     pub async fn propose(&self, command: StateCommand) -> Reply {
         match self
             .core
@@ -117,65 +121,66 @@
             Some(Ok(StateReply::Edit(reply))) => Reply::Edit(reply),
             Some(Ok(StateReply::Published(reply))) => Reply::Published(reply),
             Some(Ok(StateReply::Departed)) => Reply::Done,
-            Some(Err(reason)) => rejection(reason),
+            Some(Err(reason)) => rejection_reply(reason),
             None => Reply::Busy,
         }
     }
 
-    /// Reads the published document, if this keeper leads.
+    /// Reads the published document. The reply is `NotLeader` if this keeper isn't the leader.
     pub async fn read_published(&self) -> Reply {
         match self.core.ask(|reply| Event::ReadPublished { reply }).await {
             Some(Ok(current)) => Reply::Document(current),
-            Some(Err(reason)) => rejection(reason),
+            Some(Err(reason)) => rejection_reply(reason),
             None => Reply::Busy,
         }
     }
 
-    fn note_entry(&self, vm: &VmId, revision: Revision, data_centre: DataCentre) {
-        let seen = self.clock.now();
+    fn record_entry(&self, vm: &VmId, revision: Revision, data_centre: DataCentre) {
+        let now = self.clock.now();
         let mut entries = self.entries.lock();
         entries.insert(
             vm.clone(),
-            SeenEntry {
+            EntryRecord {
                 revision,
                 data_centre,
-                seen,
+                last_seen: now,
             },
         );
-        if entries.len() > ENTRY_LIMIT {
-            entries.retain(|_, entry| seen.since(entry.seen) < ENTRY_FORGET);
+        if entries.len() > ENTRY_PRUNE_THRESHOLD {
+            entries.retain(|_, entry| now.since(entry.last_seen) < ENTRY_EXPIRY);
         }
     }
 
     async fn hello(&self) -> Reply {
-        match self.core.ask(|reply| Event::Report { reply }).await {
-            Some(report) => Reply::Hello(KeeperHello {
-                replica: report.status.replica,
-                members: report.members,
+        match self.core.ask(|reply| Event::Status { reply }).await {
+            Some(status) => Reply::Hello(KeeperHello {
+                replica: status.replica_status.replica,
+                members: status.members,
             }),
             None => Reply::Busy,
         }
     }
 
-    /// The entries that fetched rules from this keeper lately, with what each has in force.
+    /// Returns the entries that fetched rules from this keeper within the last ten minutes, with the
+    /// revision that each has in force.
     pub fn entries(&self) -> Vec<VmStatus> {
         let now = self.clock.now();
         self.entries
             .lock()
             .iter()
-            .filter(|(_, entry)| now.since(entry.seen) < ENTRY_FORGET)
+            .filter(|(_, entry)| now.since(entry.last_seen) < ENTRY_EXPIRY)
             .map(|(vm, entry)| VmStatus {
                 vm: vm.clone(),
                 data_centre: entry.data_centre.clone(),
                 role: Role::Entry.to_string(),
                 revision: entry.revision,
-                reported_ms_ago: now.since(entry.seen).0,
+                reported_ms_ago: now.since(entry.last_seen).0,
             })
             .collect()
     }
 }
 
-fn rejection(reason: RejectReason) -> Reply {
+fn rejection_reply(reason: RejectReason) -> Reply {
     match reason {
         RejectReason::NotLeader { leader } => Reply::NotLeader { leader },
         RejectReason::LeadershipLost => Reply::LeadershipLost,
@@ -192,7 +197,7 @@
         let from = from.clone();
         Box::pin(async move {
             let reply = match Request::decode(&body) {
-                Ok(request) => self.answer(&from, request).await,
+                Ok(request) => self.handle_request(&from, request).await,
                 Err(error) => {
                     warn!("refused a message from {}: {error}", from.vm);
                     Reply::Refused
--- a/crates/auburnbridge_keeper/src/state.rs
+++ b/crates/auburnbridge_keeper/src/state.rs
@@ -1,5 +1,5 @@
-//! The state machines over the replicated log: the ledger, the rules, the published configuration and
-//! the departures of targets.
+//! The state machines that the replicated log drives: the ledger, the rules, the published
+//! configuration and the departures of targets.
 
 use std::collections::VecDeque;
 
@@ -9,33 +9,33 @@
 use auburnbridge_types::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// A command of the log.
+/// A command in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StateCommand {
-    /// For the ledger.
+    /// Command for the ledger.
     Ledger(Command),
-    /// For the rules.
+    /// Edit of the rules.
     Edit(Edit),
-    /// Puts a configuration document in force.
+    /// Publication of a configuration document.
     Publish(Publish),
-    /// A target leaves; its announcement states which of its lives.
+    /// Departure of a target, in the incarnation that its announcement states.
     Depart(Announcement),
 }
 
 /// Reply to a [`StateCommand`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateReply {
-    /// The ledger's reply.
+    /// Reply of the ledger.
     Ledger(Reply),
-    /// The reply to an edit.
+    /// Reply to an edit.
     Edit(EditReply),
-    /// The reply to a published document.
+    /// Reply to a publication.
     Published(PublishReply),
     /// The departure is recorded.
     Departed,
 }
 
-/// Reason why a snapshot can't be taken over.
+/// Error from decoding a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RestoreError(String);
 
@@ -47,19 +47,19 @@
 
 impl std::error::Error for RestoreError {}
 
-/// Departures that are kept; the oldest is dropped first. A day has hundreds.
-const DEPARTURE_LIMIT: usize = 4_096;
+/// Departures that are kept; the oldest is dropped first. There are hundreds in a day.
+const MAX_DEPARTURES: usize = 4_096;
 
-/// All state machines.
+/// All state machines of a keeper.
 #[derive(Clone, Debug, Default)]
 pub struct KeeperState {
-    /// Grants and stored answers.
+    /// Grants and stored answers of idempotency keys.
     pub ledger: Ledger,
-    /// Rules and their history.
+    /// Rules and their edit history.
     pub config: Config,
-    /// Published configuration.
+    /// Published configuration document.
     pub published: Published,
-    /// Targets that left, oldest first.
+    /// Recorded departures of targets, oldest first.
     pub departures: VecDeque<Announcement>,
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl KeeperState {
-    /// Applies a committed command at its log time.
+    /// Applies a committed command at the time stated by its log record.
     pub fn apply(&mut self, time: Timestamp, command: StateCommand) -> StateReply {
         match command {
             StateCommand::Ledger(command) => StateReply::Ledger(self.ledger.apply(time, command)),
@@ -81,7 +81,7 @@
                 self.apply_retention(time);
                 StateReply::Edit(reply)
             }
-            StateCommand::Publish(order) => StateReply::Published(self.published.apply(order)),
+            StateCommand::Publish(publish) => StateReply::Published(self.published.apply(publish)),
             StateCommand::Depart(announcement) => {
                 self.record_departure(announcement);
                 StateReply::Departed
@@ -96,13 +96,13 @@
         if is_known {
             return;
         }
-        if self.departures.len() >= DEPARTURE_LIMIT {
+        if self.departures.len() >= MAX_DEPARTURES {
             self.departures.pop_front();
         }
         self.departures.push_back(announcement);
     }
 
-    /// Makes the ledger follow the rules' retention of keys.
+    /// Sets the ledger's key retention to the one in the rules.
     fn apply_retention(&mut self, time: Timestamp) {
         let retention = self.config.rules().key_retention();
         if retention != self.ledger.retention() {
@@ -118,10 +118,10 @@
             published: self.published.clone(),
             departures: self.departures.clone(),
         };
-        postcard::to_stdvec(&parts).expect("byte strings can be encoded")
+        postcard::to_stdvec(&parts).expect("a snapshot can be encoded")
     }
 
-    /// Decodes what [`KeeperState::snapshot`] encoded.
+    /// Decodes a snapshot made by [`KeeperState::snapshot`].
     pub fn restore(bytes: &[u8]) -> Result<Self, RestoreError> {
         let parts: SnapshotParts =
             postcard::from_bytes(bytes).map_err(|error| RestoreError(error.to_string()))?;
--- a/crates/auburnbridge_keeper/src/view_cache.rs
+++ b/crates/auburnbridge_keeper/src/view_cache.rs
@@ -1,9 +1,9 @@
-//! A copy of the committed view on disk, for the time between the start of a keeper and its group's
-//! first election.
+//! On-disk copy of the committed view, used between the start of a keeper and the first election of
+//! its group.
 //!
-//! After a loss of power everywhere the gateways know nothing, and an election takes about a second.
-//! What the file holds was committed when it was written, so gateways may begin with it; it is never
-//! given to operators as the newest, and the group's own state replaces it.
+//! After a complete power loss the gateways have no configuration, and an election takes about a
+//! second. The file holds only what was committed when it was written, so gateways may start with
+//! it. Operators never get it as the current state, and the group's own state replaces it.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -16,9 +16,9 @@
 use log::{debug, warn};
 use serde::{Deserialize, Serialize};
 
-const FILE: &str = "view.cache";
-const NEW_FILE: &str = "view.cache.new";
-/// Bytes of the checksum in front of the view.
+const FILE_NAME: &str = "view.cache";
+const TEMP_FILE_NAME: &str = "view.cache.new";
+/// Size of the CRC-32 in front of the encoded view.
 const CHECKSUM_BYTES: usize = 4;
 
 /// The committed view of one keeper.
@@ -26,15 +26,15 @@
 pub struct CachedView {
     /// The published document.
     pub document: Option<Publish>,
-    /// Announcements of targets, departures included.
+    /// Announcements of targets, including departures.
     pub targets: Vec<Announcement>,
 }
 
-/// Writes views on a thread of its own, since a disk may stall.
+/// Writes views on a separate thread, since the disk may stall.
 pub struct ViewCache(SyncSender<CachedView>);
 
 impl ViewCache {
-    /// Starts the thread that writes into `folder`.
+    /// Starts the thread that writes to `folder`. Fails if the thread can't be started.
     pub fn start(folder: &Path) -> io::Result<Self> {
         let (tx, rx) = std::sync::mpsc::sync_channel(1);
         let folder = folder.to_owned();
@@ -44,13 +44,13 @@
         Ok(Self(tx))
     }
 
-    /// Hands a view over; `false` if an earlier one is still being written.
+    /// Queues a view for writing. Returns `false` if an earlier one is still waiting to be written.
     pub fn store(&self, view: CachedView) -> bool {
         match self.0.try_send(view) {
             Ok(()) => true,
             Err(TrySendError::Full(_)) => false,
             Err(TrySendError::Disconnected(_)) => {
-                debug!("the view is not cached: the writing thread has ended");
+                debug!("can't cache the view: the writer thread has ended");
                 true
             }
         }
@@ -59,37 +59,37 @@
 
 fn write_views(folder: &Path, views: &Receiver<CachedView>) {
     while let Ok(view) = views.recv() {
-        if let Err(error) = write(folder, &view) {
-            warn!("the view can't be cached: {error}");
+        if let Err(error) = write_view(folder, &view) {
+            warn!("can't cache the view: {error}");
         }
     }
 }
 
-fn write(folder: &Path, view: &CachedView) -> io::Result<()> {
+fn write_view(folder: &Path, view: &CachedView) -> io::Result<()> {
     let encoded = postcard::to_stdvec(view).map_err(io::Error::other)?;
-    let new: PathBuf = folder.join(NEW_FILE);
-    let mut file = File::create(&new)?;
+    let temp_path: PathBuf = folder.join(TEMP_FILE_NAME);
+    let mut file = File::create(&temp_path)?;
     file.write_all(&crc32fast::hash(&encoded).to_be_bytes())?;
     file.write_all(&encoded)?;
     file.sync_data()?;
-    fs::rename(&new, folder.join(FILE))
+    fs::rename(&temp_path, folder.join(FILE_NAME))
 }
 
-/// Reads the cached view; a file that is missing or torn gives none.
+/// Reads the cached view. Returns `None` if the file is missing or damaged.
 pub fn read_view(folder: &Path) -> Option<CachedView> {
-    let bytes = match fs::read(folder.join(FILE)) {
+    let bytes = match fs::read(folder.join(FILE_NAME)) {
         Ok(bytes) => bytes,
         Err(error) => {
-            debug!("there is no cached view: {error}");
+            debug!("can't read the cached view: {error}");
             return None;
         }
     };
     let (checksum, encoded) = bytes.split_at_checked(CHECKSUM_BYTES)?;
     if checksum != crc32fast::hash(encoded).to_be_bytes() {
-        warn!("the cached view is torn and not used");
+        warn!("ignoring the cached view: its checksum does not match");
         return None;
     }
     postcard::from_bytes(encoded)
-        .inspect_err(|error| warn!("the cached view can't be decoded: {error}"))
+        .inspect_err(|error| warn!("can't decode the cached view: {error}"))
         .ok()
 }
--- a/crates/auburnbridge_keeper/tests/catalogue.rs
+++ b/crates/auburnbridge_keeper/tests/catalogue.rs
@@ -1,5 +1,5 @@
-//! Guards what gateways learn from a keeper: departures that stay, lists that are complete, and the
-//! view with which a keeper begins.
+//! Tests what gateways learn from a keeper: permanent departures, complete lists, and the cached view
+//! with which a keeper starts.
 
 use std::sync::Arc;
 
@@ -17,23 +17,23 @@
 
 const START: Timestamp = Timestamp(1_000_000);
 
-fn announcement(target: &str, born: u64, sequence: u64) -> Announcement {
+fn announcement(target: &str, incarnation: u64, sequence: u64) -> Announcement {
     Announcement {
         service: "stock".parse().unwrap(),
         target: target.parse().unwrap(),
         address: "10.0.0.1:80".parse().unwrap(),
         data_centre: "north".parse().unwrap(),
-        incarnation: Incarnation(born),
+        incarnation: Incarnation(incarnation),
         sequence: Sequence(sequence),
         slots: Slots(3),
         state: State::Ready,
     }
 }
 
-fn leaving(target: &str, born: u64, sequence: u64) -> Announcement {
+fn leaving(target: &str, incarnation: u64, sequence: u64) -> Announcement {
     Announcement {
         state: State::Leaving,
-        ..announcement(target, born, sequence)
+        ..announcement(target, incarnation, sequence)
     }
 }
 
@@ -41,7 +41,7 @@
     Catalogue::new(Arc::new(clock.clone()) as Arc<dyn Clock>, 7)
 }
 
-fn name(target: &str) -> TargetId {
+fn target_id(target: &str) -> TargetId {
     target.parse().unwrap()
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// What a gateway gets that has `earlier`.
+/// Reply to a gateway whose last reply was `earlier`.
 fn watch(catalogue: &Catalogue, earlier: Option<&Watched>) -> Watched {
     let watch = Watch {
         version: earlier.and_then(|watched| Some(watched.document.as_ref()?.version)),
@@ -65,19 +65,20 @@
     block_on(catalogue.watch(&vm, watch))
 }
 
-fn ids(watched: &Watched) -> Vec<(&str, State)> {
-    let mut ids: Vec<(&str, State)> = watched
+fn targets_and_states(watched: &Watched) -> Vec<(&str, State)> {
+    let mut targets: Vec<(&str, State)> = watched
         .targets
         .iter()
         .map(|target| (target.target.as_str(), target.state))
         .collect();
-    ids.sort_unstable();
-    ids
+    targets.sort_unstable();
+    targets
 }
 
-/// Guards against a list that lacks targets or departures, and against one that is sent whole again.
+/// Guards against a list that lacks targets or departures, and against sending the whole list again
+/// when only a few targets changed.
 #[test]
-fn gateway_gets_the_whole_list_and_then_the_changes() {
+fn gateway_gets_the_full_list_first_and_then_only_changes() {
     let clock = PausedClock::new(START);
     let catalogue = catalogue(&clock);
     catalogue.announce(announcement("t-1", 5, 1));
@@ -85,20 +86,21 @@
     catalogue.departed(&leaving("t-2", 5, 2));
     let first = watch(&catalogue, None);
     assert_eq!(
-        ids(&first),
+        targets_and_states(&first),
         [("t-1", State::Ready), ("t-2", State::Leaving)]
     );
-    // Renewals are no news.
+    // A renewal is not a change.
     catalogue.announce(announcement("t-1", 5, 2));
     catalogue.announce(announcement("t-3", 5, 1));
     let second = watch(&catalogue, Some(&first));
-    assert_eq!(ids(&second), [("t-3", State::Ready)]);
-    assert_eq!(ids(&watch(&catalogue, Some(&second))), []);
+    assert_eq!(targets_and_states(&second), [("t-3", State::Ready)]);
+    assert_eq!(targets_and_states(&watch(&catalogue, Some(&second))), []);
 }
 
-/// Guards against a position of another process that is taken for one of this.
+/// Guards against lost targets after a gateway switches keepers: its position counts the changes of
+/// the previous keeper's process and means nothing in the list of this one.
 #[test]
-fn position_of_another_process_gets_the_whole_list() {
+fn position_of_another_process_gets_the_full_list() {
     let clock = PausedClock::new(START);
     let (old, new) = (
         catalogue(&clock),
@@ -107,24 +109,27 @@
     old.announce(announcement("t-1", 5, 1));
     new.announce(announcement("t-2", 5, 1));
     let watched = watch(&old, None);
-    assert_eq!(ids(&watch(&new, Some(&watched))), [("t-2", State::Ready)]);
+    assert_eq!(
+        targets_and_states(&watch(&new, Some(&watched))),
+        [("t-2", State::Ready)]
+    );
 }
 
-/// Guards against a departed target that comes back by a late announcement of the same life, and
-/// against a later life that is taken for the departed one.
+/// Guards against a departed target that reappears through a late announcement of the same
+/// incarnation, and against a later incarnation that is treated as departed.
 #[test]
-fn departure_ends_one_life() {
+fn departure_applies_to_one_incarnation() {
     let clock = PausedClock::new(START);
     let catalogue = catalogue(&clock);
     catalogue.announce(announcement("t-1", 5, 1));
-    let LeavingTarget::Present(departure) = catalogue.leaving(&name("t-1"), None) else {
-        panic!("the target is known");
+    let LeavingTarget::Present(departure) = catalogue.find_leaving(&target_id("t-1"), None) else {
+        panic!("t-1 is not present");
     };
     assert!(!catalogue.has_departed(&departure));
     catalogue.departed(&departure);
     assert!(catalogue.has_departed(&departure));
     assert_eq!(
-        catalogue.leaving(&name("t-1"), None),
+        catalogue.find_leaving(&target_id("t-1"), None),
         LeavingTarget::Departed
     );
     assert_eq!(
@@ -136,22 +141,23 @@
         Verdict::Accepted
     );
     assert_eq!(
-        catalogue.leaving(&name("t-1"), Some(Incarnation(5))),
+        catalogue.find_leaving(&target_id("t-1"), Some(Incarnation(5))),
         LeavingTarget::Departed
     );
     assert!(matches!(
-        catalogue.leaving(&name("t-1"), Some(Incarnation(6))),
+        catalogue.find_leaving(&target_id("t-1"), Some(Incarnation(6))),
         LeavingTarget::Present(_)
     ));
     assert_eq!(
-        catalogue.leaving(&name("t-2"), None),
+        catalogue.find_leaving(&target_id("t-2"), None),
         LeavingTarget::Unknown
     );
 }
 
-/// Guards against departures that take effect before a quorum has them.
+/// Guards against a departure that takes effect before a quorum has recorded it, because another
+/// keeper forwarded it.
 #[test]
-fn departure_heard_from_another_keeper_is_not_taken() {
+fn departure_forwarded_by_another_keeper_is_ignored() {
     let clock = PausedClock::new(START);
     let catalogue = catalogue(&clock);
     catalogue.announce(announcement("t-1", 5, 1));
@@ -160,17 +166,18 @@
         gateways: Vec::new(),
     });
     assert_eq!(
-        ids(&watch(&catalogue, None)),
+        targets_and_states(&watch(&catalogue, None)),
         [("t-1", State::Ready), ("t-2", State::Ready)]
     );
 }
 
-/// Guards against a configuration that goes back when the log is applied again.
+/// Guards against an older configuration that replaces the cached one while the log is applied again
+/// from its start.
 #[test]
-fn published_version_never_goes_back() {
+fn published_version_never_decreases() {
     let clock = PausedClock::new(START);
     let catalogue = catalogue(&clock);
-    catalogue.begin_with(CachedView {
+    catalogue.load_view(CachedView {
         document: Some(document(9, &[9])),
         targets: vec![announcement("t-1", 5, 1)],
     });
@@ -180,9 +187,9 @@
     assert_eq!(watch(&catalogue, None).document.unwrap().version.0, 10);
 }
 
-/// Guards against a keeper that is cut off and passes for one that is up to date.
+/// Guards against gateways that take the state of a partitioned keeper for current.
 #[test]
-fn age_of_the_state_is_told() {
+fn reply_states_the_age_of_the_applied_state() {
     let clock = PausedClock::new(START);
     let catalogue = catalogue(&clock);
     assert_eq!(watch(&catalogue, None).confirmed_before, None);
@@ -191,8 +198,8 @@
     assert_eq!(watch(&catalogue, None).confirmed_before, Some(Millis(700)));
 }
 
-/// Guards against gateways that are counted after their end, and against one that other keepers
-/// don't hear of.
+/// Guards against stopped gateways that are still listed, and against gateways that the other keepers
+/// are not told about.
 #[test]
 fn gateways_are_listed_while_they_watch() {
     let clock = PausedClock::new(START);
@@ -207,22 +214,22 @@
         gateways: vec![other],
     });
     assert_eq!(watch(&catalogue, None).gateways.len(), 2);
-    let told = catalogue.take_unsent().unwrap();
-    assert_eq!(told.gateways.len(), 1);
+    let unsent = catalogue.take_unsent().unwrap();
+    assert_eq!(unsent.gateways.len(), 1);
     clock.advance(Millis(5_000));
     assert_eq!(watch(&catalogue, None).gateways.len(), 1);
 }
 
-/// Guards against a torn file that is taken for a view.
+/// Guards against a truncated file that is loaded as a view, as an interrupted write may leave one.
 #[test]
-fn view_survives_a_restart_and_a_torn_one_is_dropped() {
+fn cached_view_survives_a_restart_and_a_truncated_file_is_ignored() {
     let folder = tempfile::tempdir().unwrap();
     let clock = PausedClock::new(START);
     let catalogue = catalogue(&clock);
     catalogue.announce(announcement("t-1", 5, 1));
     catalogue.published(&document(3, &[1, 2, 3]));
-    let view = catalogue.changed_view().unwrap();
-    assert_eq!(catalogue.changed_view(), None);
+    let view = catalogue.take_changed_view().unwrap();
+    assert_eq!(catalogue.take_changed_view(), None);
     let cache = ViewCache::start(folder.path()).unwrap();
     assert!(cache.store(view.clone()));
     let stored = (0..500).find_map(|_| {
