--- a/crates/auburnbridge_operator/src/authorization.rs
+++ b/crates/auburnbridge_operator/src/authorization.rs
@@ -1,4 +1,4 @@
-//! Who may call and who may change which lines.
+//! Authentication of calls and authorization of edits.
 
 use auburnbridge_rules::{Rules, difference};
 use tide::Request;
@@ -8,9 +8,9 @@
 use crate::problem::{Problem, ProblemKind};
 use crate::server::State;
 
-const SCHEME: &str = "bearer";
+const BEARER_SCHEME: &str = "bearer";
 
-/// The key of a call.
+/// Returns the operator key that the `Authorization` header of a call names.
 pub(crate) fn authenticate(request: &Request<State>) -> Result<OperatorKey, Problem> {
     request
         .header(AUTHORIZATION)
@@ -26,10 +26,12 @@
 
 fn bearer_secret(credentials: &str) -> Option<&str> {
     let (scheme, secret) = credentials.split_once(' ')?;
-    scheme.eq_ignore_ascii_case(SCHEME).then(|| secret.trim())
+    scheme
+        .eq_ignore_ascii_case(BEARER_SCHEME)
+        .then(|| secret.trim())
 }
 
-/// Checks that the key may change every line that differs.
+/// Checks that the key may change every line in which `old` and `new` differ.
 pub(crate) fn authorize(key: &OperatorKey, old: &Rules, new: &Rules) -> Result<(), Problem> {
     if key.may_change(None, old) {
         return Ok(());
--- a/crates/auburnbridge_operator/src/body.rs
+++ b/crates/auburnbridge_operator/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of edits.
+//! Reading and decoding the bodies of edits.
 
 use async_std::io::ReadExt;
 use auburnbridge_config::{Change, LineSelector};
@@ -8,13 +8,13 @@
 
 use crate::problem::{Problem, ProblemKind};
 
-/// Largest body of a whole file.
+/// Largest body of a replacement of the whole file, in bytes.
 pub const MAX_RULES_BYTES: usize = MAX_TEXT_BYTES;
 
-/// Largest body of an edit of one line: two lines whose every byte is escaped in JSON.
+/// Largest body of an edit of one line, in bytes: two lines of which every byte is escaped in JSON.
 pub const MAX_LINE_EDIT_BYTES: usize = 2 * 6 * MAX_LINE_BYTES + 256;
 
-/// JSON of an edit of one line.
+/// JSON body of an edit of one line.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 enum LineEditBody {
@@ -26,7 +26,7 @@
     Remove(SelectorBody),
 }
 
-/// JSON of the line to be changed.
+/// JSON that selects the line to be changed.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum SelectorBody {
@@ -34,14 +34,14 @@
     Text(String),
 }
 
-/// Reads a whole file.
+/// Reads the body of a replacement of the whole file.
 pub(crate) async fn read_rules(body: Body) -> Result<Change, Problem> {
     read_text(body, MAX_RULES_BYTES)
         .await
         .map(Change::ReplaceAll)
 }
 
-/// Reads an edit of one line.
+/// Reads and decodes the body of an edit of one line.
 pub(crate) async fn read_line_edit(body: Body) -> Result<Change, Problem> {
     let text = read_text(body, MAX_LINE_EDIT_BYTES).await?;
     let invalid = |detail: String| Problem::new(ProblemKind::BodyInvalid).with_detail(detail);
@@ -68,9 +68,9 @@
 async fn read_text(body: Body, limit: usize) -> Result<String, Problem> {
     let invalid = |detail: &str| Problem::new(ProblemKind::BodyInvalid).with_detail(detail);
     let mut bytes = Vec::new();
-    // One byte more than the limit shows that a body of unknown length is too large.
-    let allowed = u64::try_from(limit).unwrap_or(u64::MAX).saturating_add(1);
-    let mut reader = body.into_reader().take(allowed);
+    // Reading one byte beyond the limit detects a body of unknown length that is too large.
+    let read_limit = u64::try_from(limit).unwrap_or(u64::MAX).saturating_add(1);
+    let mut reader = body.into_reader().take(read_limit);
     reader
         .read_to_end(&mut bytes)
         .await
--- a/crates/auburnbridge_operator/src/edits.rs
+++ b/crates/auburnbridge_operator/src/edits.rs
@@ -1,4 +1,4 @@
-//! Edits of the rules.
+//! Handlers of calls that edit the rules.
 
 use std::sync::Arc;
 
@@ -16,30 +16,30 @@
 use crate::server::State;
 use crate::store::RulesInForce;
 
-const EDIT_ID: &str = "Auburnbridge-Edit-Id";
+const EDIT_ID_HEADER: &str = "Auburnbridge-Edit-Id";
 
 /// `PUT /auburnbridge/rules`
 pub(crate) async fn replace_rules(mut request: Request<State>) -> Result<Response, Problem> {
-    let call = EditCall::read(&request)?;
+    let edit = EditRequest::read(&request)?;
     let change = read_rules(request.take_body()).await?;
-    call.run(request.state(), change).await
+    edit.submit(request.state(), change).await
 }
 
 /// `PATCH /auburnbridge/rules`
 pub(crate) async fn edit_line(mut request: Request<State>) -> Result<Response, Problem> {
-    let call = EditCall::read(&request)?;
+    let edit = EditRequest::read(&request)?;
     let change = read_line_edit(request.take_body()).await?;
-    call.run(request.state(), change).await
+    edit.submit(request.state(), change).await
 }
 
-/// What the head of an edit states.
-struct EditCall {
+/// The operator key and the headers of an edit.
+struct EditRequest {
     key: OperatorKey,
     id: EditId,
     expected: Revision,
 }
 
-impl EditCall {
+impl EditRequest {
     fn read(request: &Request<State>) -> Result<Self, Problem> {
         Ok(Self {
             key: authenticate(request)?,
@@ -48,9 +48,9 @@
         })
     }
 
-    async fn run(self, state: &State, change: Change) -> Result<Response, Problem> {
-        let known = state.store.rules().await?;
-        let change = self.check(known, change).await?;
+    async fn submit(self, state: &State, change: Change) -> Result<Response, Problem> {
+        let current = state.store.rules().await?;
+        let change = self.check(current, change).await?;
         let (id, author) = (self.id, self.key.author);
         let reply = state.store.submit(Edit {
             id,
@@ -65,7 +65,7 @@
         match outcome {
             Ok(revision) => {
                 log::info!("accepted edit {id} of {author} as revision {revision}");
-                Ok(accepted(revision))
+                Ok(accepted_response(revision))
             }
             Err(problem) => {
                 log::info!("refused edit {id} of {author}: {}", problem.kind());
@@ -74,22 +74,22 @@
         }
     }
 
-    /// Checks that the edit may be proposed and returns it.
-    async fn check(&self, known: RulesInForce, change: Change) -> Result<Change, Problem> {
-        if known.revision < self.expected {
-            // The edit can't be authorized against rules that this process does not have.
-            let detail = format!("revision {} is in force here", known.revision);
+    /// Checks whether the edit may be proposed, and returns its change.
+    async fn check(&self, current: RulesInForce, change: Change) -> Result<Change, Problem> {
+        if current.revision < self.expected {
+            // This process does not have the rules against which the edit must be authorized.
+            let detail = format!("revision {} is in force here", current.revision);
             return Err(Problem::new(ProblemKind::Unavailable).with_detail(detail));
         }
-        if known.revision > self.expected {
-            // The log has moved on as well, so the edit can't be accepted now. It is proposed all
-            // the same, since it may be a resend of an accepted one, whose id gets the first reply.
+        if current.revision > self.expected {
+            // The log is also past the expected revision, so a new edit would be refused. It is still
+            // proposed, since it may be a resend of an accepted edit, whose id gets the first reply.
             return Ok(change);
         }
         let key = self.key.clone();
         // Parsing and comparing a file of 86,000 lines takes hundreds of milliseconds.
         spawn_blocking(move || {
-            let old = Arc::clone(&known.rules);
+            let old = Arc::clone(&current.rules);
             let changed = change.apply_to(&old).map_err(|refusal| match refusal {
                 ChangeRefusal::Invalid(errors) => Problem::invalid(errors, 0),
                 ChangeRefusal::NoSuchLine => Problem::new(ProblemKind::NoSuchLine),
@@ -103,14 +103,14 @@
 
 fn edit_id(request: &Request<State>) -> Result<EditId, Problem> {
     let invalid = |detail: String| Problem::new(ProblemKind::HeaderInvalid).with_detail(detail);
-    let value = request.header(EDIT_ID).ok_or_else(|| {
+    let value = request.header(EDIT_ID_HEADER).ok_or_else(|| {
         invalid(format!(
-            "send a new UUID version 7 as `{EDIT_ID}`, and the same one with a resend"
+            "send a new UUID version 7 as `{EDIT_ID_HEADER}`, and the same one with a resend"
         ))
     })?;
     let text = value.last().as_str();
     text.parse()
-        .map_err(|error| invalid(format!("`{EDIT_ID}`: {error}")))
+        .map_err(|error| invalid(format!("`{EDIT_ID_HEADER}`: {error}")))
 }
 
 fn expected_revision(request: &Request<State>) -> Result<Revision, Problem> {
@@ -119,18 +119,18 @@
             .with_detail("send the ETag of the rules to which the edit was made as `If-Match`")
     })?;
     let text = value.last().as_str();
-    revision_of_tag(text).ok_or_else(|| {
+    parse_etag(text).ok_or_else(|| {
         let detail = format!("`If-Match`: expected a revision such as `\"12\"`, found `{text}`");
         Problem::new(ProblemKind::HeaderInvalid).with_detail(detail)
     })
 }
 
-/// The revision of an entity tag; a weak tag or `*` names none.
-fn revision_of_tag(tag: &str) -> Option<Revision> {
+/// Parses the revision in an entity tag. A weak tag or `*` contains none.
+fn parse_etag(tag: &str) -> Option<Revision> {
     tag.strip_prefix('"')?.strip_suffix('"')?.parse().ok()
 }
 
-fn accepted(revision: Revision) -> Response {
+fn accepted_response(revision: Revision) -> Response {
     Response::builder(StatusCode::Ok)
         .header(ETAG, format!("\"{revision}\""))
         .body(json!({ "revision": revision }))
--- a/crates/auburnbridge_operator/src/keys.rs
+++ b/crates/auburnbridge_operator/src/keys.rs
@@ -1,4 +1,4 @@
-//! Operator keys.
+//! Operator keys and their permissions.
 
 use std::hint::black_box;
 
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// SHA-256 digest of a key's secret, which is a random text of at least 128 bits of entropy.
+/// SHA-256 digest of a key's secret. The secret is random text with at least 128 bits of entropy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyDigest(pub [u8; 32]);
 
@@ -18,7 +18,7 @@
         Self(Sha256::digest(secret.as_bytes()).into())
     }
 
-    /// Compares in a time that doesn't depend on the digests.
+    /// Compares two digests in constant time.
     fn matches(&self, other: &Self) -> bool {
         let pairs = self.0.iter().zip(&other.0);
         let difference = pairs.fold(0, |difference, (a, b)| black_box(difference | (a ^ b)));
@@ -26,21 +26,21 @@
     }
 }
 
-/// One operator's key; the secret itself is not kept.
+/// Key of one operator. The secret itself is not stored.
 #[derive(Clone, Debug)]
 pub struct OperatorKey {
     /// Digest of the secret.
     pub digest: KeyDigest,
-    /// The operator, as the history names them.
+    /// Name of the operator in the edit history.
     pub author: Author,
-    /// The operator's team, whose `team` lines apply to the key.
+    /// Team of the operator; the `team` lines of the rules for this team apply to the key.
     pub team: Option<AccountId>,
-    /// What the key may change beside its team's lines.
+    /// What the key may change in addition to the scopes of its team.
     pub scopes: Vec<TeamScope>,
 }
 
 impl OperatorKey {
-    /// Whether the key may change the lines of `service`, or with `None` every line.
+    /// Whether the key may change the lines of `service`, or every line if `service` is `None`.
     pub(crate) fn may_change(&self, service: Option<&ServiceName>, rules: &Rules) -> bool {
         let by_team = rules
             .teams()
@@ -53,17 +53,17 @@
     }
 }
 
-/// The keys that a process accepts.
+/// Operator keys that a process accepts.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorKeys(Vec<OperatorKey>);
 
 impl OperatorKeys {
-    /// Collects keys.
+    /// Creates a set of keys.
     pub fn new(keys: Vec<OperatorKey>) -> Self {
         Self(keys)
     }
 
-    /// The key with this secret; every key is compared, so that the time taken tells nothing.
+    /// Finds the key with this secret. Every key is compared, so that the time taken reveals nothing.
     pub(crate) fn find(&self, secret: &str) -> Option<&OperatorKey> {
         let digest = KeyDigest::of(secret);
         self.0.iter().fold(None, |found, key| {
--- a/crates/auburnbridge_operator/src/lib.rs
+++ b/crates/auburnbridge_operator/src/lib.rs
@@ -1,10 +1,10 @@
 //! The administration API for operators.
 //!
-//! [`server`] builds a [`tide::Server`] over a [`ConfigStore`], which connects it to the replicated
-//! log. The HTTP framing is done elsewhere: the server is given parsed requests.
+//! [`server`] builds a [`tide::Server`] on top of a [`ConfigStore`], which connects it to the
+//! replicated log. HTTP framing is done elsewhere: the server receives parsed requests.
 //!
-//! An edit names the revision to which it was made. It is authorized against the rules of that
-//! revision and then submitted with the same expected revision, so that no other edit can come
+//! An edit states the revision on which it is based. It is authorized against the rules of that
+//! revision and then submitted with the same expected revision, so no other edit can take effect
 //! between the check and the change.
 
 mod authorization;
--- a/crates/auburnbridge_operator/src/problem.rs
+++ b/crates/auburnbridge_operator/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as `application/problem+json` (RFC 9457).
+//! Refusals of calls as `application/problem+json` (RFC 9457).
 
 use auburnbridge_config::EditReply;
 use auburnbridge_rules::RuleError;
@@ -10,12 +10,12 @@
 
 use crate::store::StoreError;
 
-const OUTCOME: &str = "Auburnbridge-Outcome";
+const OUTCOME_HEADER: &str = "Auburnbridge-Outcome";
 const CONTENT_TYPE: &str = "application/problem+json";
 const TYPE_PREFIX: &str = "urn:auburnbridge:operator:";
 const RETRY_AFTER_SECONDS: &str = "2";
 
-/// Every reason for a refusal.
+/// Reason for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum ProblemKind {
@@ -23,15 +23,15 @@
     Unauthorized,
     /// The key may not change these lines.
     Forbidden,
-    /// There is nothing at this path.
+    /// No resource has this path.
     NotFound,
     /// The path does not support the method.
     MethodNotAllowed,
-    /// A header is missing or can't be read.
+    /// A header is missing or can't be parsed.
     HeaderInvalid,
-    /// An edit without `If-Match`.
+    /// An edit has no `If-Match` header.
     RevisionMissing,
-    /// The body can't be read.
+    /// The body can't be read or decoded.
     BodyInvalid,
     /// The body is longer than the limit.
     BodyTooLarge,
@@ -43,29 +43,31 @@
     NoSuchLine,
     /// The edit id belongs to another edit.
     EditIdReused,
-    /// The edit id is too old, or its creation time lies ahead.
+    /// The edit id is too old, or its creation time is in the future.
     EditIdExpired,
-    /// Too many edits in the last 24 h.
+    /// There were too many edits in the last 24 h.
     TooManyEdits,
-    /// The process can't reach a quorum, or its rules lag behind the expected revision.
+    /// The process can't reach a quorum, or its rules are older than the expected revision.
     Unavailable,
-    /// The edit was proposed, and whether it was accepted is not known.
+    /// The edit was proposed, but whether it was accepted is unknown.
     OutcomeUnknown,
 }
 
 impl ProblemKind {
-    /// Status code, title and what is known about the edit, which may have been sent before.
+    /// Returns the status code, the title, and the known outcome of the edit, which may have been sent
+    /// before.
     ///
-    /// `not-run` stands only where no earlier attempt with the same edit id can have been accepted.
-    pub fn answer(self) -> (u16, &'static str, Option<Outcome>) {
+    /// The outcome is `not-run` only where no earlier attempt with the same edit id can have been
+    /// accepted.
+    pub fn response_fields(self) -> (u16, &'static str, Option<Outcome>) {
         let not_run = |status, title| (status, title, Some(Outcome::NotRun));
         let unknown = |status, title| (status, title, Some(Outcome::Unknown));
-        let unstated = |status, title| (status, title, None);
+        let without_outcome = |status, title| (status, title, None);
         match self {
-            Self::Unauthorized => unstated(401, "The operator key is missing or unknown"),
-            Self::Forbidden => unstated(403, "The operator key may not change these lines"),
-            Self::NotFound => unstated(404, "There is nothing at this path"),
-            Self::MethodNotAllowed => unstated(405, "The path does not support the method"),
+            Self::Unauthorized => without_outcome(401, "The operator key is missing or unknown"),
+            Self::Forbidden => without_outcome(403, "The operator key may not change these lines"),
+            Self::NotFound => without_outcome(404, "There is nothing at this path"),
+            Self::MethodNotAllowed => without_outcome(405, "The path does not support the method"),
             Self::HeaderInvalid => not_run(400, "A header is missing or invalid"),
             Self::RevisionMissing => not_run(428, "The edit has no If-Match header"),
             Self::BodyInvalid => not_run(400, "The body is invalid"),
@@ -85,7 +87,7 @@
         }
     }
 
-    fn may_be_repeated(self) -> bool {
+    fn is_retryable(self) -> bool {
         matches!(
             self,
             Self::TooManyEdits | Self::Unavailable | Self::OutcomeUnknown
@@ -93,12 +95,12 @@
     }
 }
 
-/// One refusal.
+/// Refusal of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     kind: ProblemKind,
     detail: Option<String>,
-    current: Option<Revision>,
+    current_revision: Option<Revision>,
     errors: Vec<RuleError>,
     omitted_errors: u32,
 }
@@ -128,32 +130,32 @@
 }
 
 impl Problem {
-    /// A refusal without a detail.
+    /// Creates a refusal without a detail.
     pub fn new(kind: ProblemKind) -> Self {
         Self {
             kind,
             detail: None,
-            current: None,
+            current_revision: None,
             errors: Vec::new(),
             omitted_errors: 0,
         }
     }
 
-    /// Adds what is wrong with this call and how to fix it.
+    /// Adds a text that states what is wrong with this call and how to fix it.
     #[must_use]
     pub fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = Some(detail.into());
         self
     }
 
-    /// Reason of the refusal.
+    /// Returns the reason for the refusal.
     pub fn kind(&self) -> ProblemKind {
         self.kind
     }
 
     pub(crate) fn stale(current: Revision) -> Self {
         Self {
-            current: Some(current),
+            current_revision: Some(current),
             ..Self::new(ProblemKind::Stale)
         }
     }
@@ -176,7 +178,7 @@
     }
 }
 
-/// The revision that an edit made, or the problem that its reply states.
+/// Returns the revision that an accepted edit created, or the problem that the reply states.
 pub(crate) fn accepted_revision(reply: EditReply) -> Result<Revision, Problem> {
     Err(match reply {
         EditReply::Accepted { revision } => return Ok(revision),
@@ -192,31 +194,32 @@
 
 impl From<Problem> for Response {
     fn from(problem: Problem) -> Self {
-        let (status, title, outcome) = problem.kind.answer();
+        let (status, title, outcome) = problem.kind.response_fields();
         let body = ProblemBody {
             kind: format!("{TYPE_PREFIX}{}", problem.kind),
             title,
             status,
             detail: problem.detail.as_deref(),
-            current_revision: problem.current,
+            current_revision: problem.current_revision,
             errors: &problem.errors,
             omitted_errors: problem.omitted_errors,
         };
         let body = serde_json::to_vec(&body).expect("a problem can be encoded");
-        let status = StatusCode::try_from(status).expect("the table holds known status codes");
+        let status =
+            StatusCode::try_from(status).expect("response_fields returns valid status codes");
         let mut response = Response::builder(status)
             .body(body)
             .content_type(CONTENT_TYPE);
         if let Some(outcome) = outcome {
-            response = response.header(OUTCOME, outcome.to_string());
+            response = response.header(OUTCOME_HEADER, outcome.to_string());
         }
         if problem.kind == ProblemKind::Unauthorized {
             response = response.header(WWW_AUTHENTICATE, "Bearer");
         }
-        if let Some(current) = problem.current {
+        if let Some(current) = problem.current_revision {
             response = response.header(ETAG, format!("\"{current}\""));
         }
-        if problem.kind.may_be_repeated() {
+        if problem.kind.is_retryable() {
             response = response.header(RETRY_AFTER, RETRY_AFTER_SECONDS);
         }
         response.build()
--- a/crates/auburnbridge_operator/src/reads.rs
+++ b/crates/auburnbridge_operator/src/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of the rules and of the fleet's state.
+//! Handlers of calls that read the rules and the state of the fleet.
 
 use serde::Serialize;
 use tide::http::headers::{ETAG, IF_NONE_MATCH};
@@ -12,16 +12,16 @@
 /// `GET /auburnbridge/rules`
 pub(crate) async fn rules(request: Request<State>) -> Result<Response, Problem> {
     authenticate(&request)?;
-    let known = request.state().store.rules().await?;
-    let tag = format!("\"{}\"", known.revision);
-    let unchanged = request
+    let current = request.state().store.rules().await?;
+    let tag = format!("\"{}\"", current.revision);
+    let is_unchanged = request
         .header(IF_NONE_MATCH)
         .is_some_and(|values| values.iter().any(|value| value.as_str() == tag));
-    let mut response = if unchanged {
+    let mut response = if is_unchanged {
         Response::new(StatusCode::NotModified)
     } else {
         Response::builder(StatusCode::Ok)
-            .body(known.rules.text().as_bytes())
+            .body(current.rules.text().as_bytes())
             .content_type(mime::PLAIN)
             .build()
     };
@@ -48,7 +48,7 @@
 }
 
 fn json(value: &impl Serialize) -> Response {
-    let body = serde_json::to_vec(value).expect("the value has only text keys");
+    let body = serde_json::to_vec(value).expect("a value with only string keys can be encoded");
     Response::builder(StatusCode::Ok)
         .body(body)
         .content_type(mime::JSON)
--- a/crates/auburnbridge_operator/src/store.rs
+++ b/crates/auburnbridge_operator/src/store.rs
@@ -1,4 +1,4 @@
-//! What the API needs from the rest of the process.
+//! Interface through which the API reaches the rest of the process.
 
 use std::sync::Arc;
 
@@ -9,34 +9,35 @@
 };
 use serde::Serialize;
 
-/// Access to the replicated rules and to the state of the fleet.
+/// Access to the replicated rules and the state of the fleet.
 pub trait ConfigStore: Send + Sync {
-    /// The rules and their revision, as this process knows them; they may lag behind the log.
+    /// Returns the rules that this process has applied, with their revision. They may lag behind the
+    /// log.
     fn rules(&self) -> BoxFuture<'_, Result<RulesInForce, StoreError>>;
 
-    /// The accepted edits, oldest first.
+    /// Returns the accepted edits, oldest first.
     fn history(&self) -> BoxFuture<'_, Result<Vec<HistoryEntry>, StoreError>>;
 
-    /// The revision in force on every VM.
+    /// Returns the revision in force on each VM.
     fn status(&self) -> BoxFuture<'_, Result<FleetStatus, StoreError>>;
 
-    /// The targets that this process knows.
+    /// Returns the targets that this process knows.
     fn targets(&self) -> BoxFuture<'_, Result<Vec<TargetStatus>, StoreError>>;
 
     /// Proposes an edit and waits until a quorum has committed and synced it.
     fn submit(&self, edit: Edit) -> BoxFuture<'_, Result<EditReply, StoreError>>;
 }
 
-/// Reason why the store gave no answer.
+/// Reason why the store returned no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// Nothing was proposed.
+    /// The rules can't be read or changed at present; nothing was proposed.
     Unavailable,
-    /// The edit was proposed and its outcome is not known.
+    /// The edit was proposed, but its outcome is unknown.
     OutcomeUnknown,
 }
 
-/// Rules at one revision.
+/// The rules at one revision.
 #[derive(Clone, Debug)]
 pub struct RulesInForce {
     /// The revision.
@@ -45,16 +46,16 @@
     pub rules: Arc<Rules>,
 }
 
-/// Which VM has which revision.
+/// Revisions in force across the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FleetStatus {
     /// The newest revision that this process knows.
     pub revision: Revision,
-    /// Every VM that reported lately.
+    /// The VMs that reported recently.
     pub vms: Vec<VmStatus>,
 }
 
-/// State of one VM.
+/// Status of one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct VmStatus {
     /// The VM.
@@ -63,27 +64,27 @@
     pub data_centre: DataCentre,
     /// Its role, such as `entry`.
     pub role: String,
-    /// The revision in force on it.
+    /// Revision in force on the VM.
     pub revision: Revision,
-    /// Age of the report in milliseconds.
+    /// Age of its last report in milliseconds.
     pub reported_ms_ago: u64,
 }
 
-/// State of one target.
+/// Status of one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TargetStatus {
-    /// The service that the target provides.
+    /// Service that the target provides.
     pub service: ServiceName,
     /// The target.
     pub target: TargetId,
-    /// Its address, as announced.
+    /// Announced address.
     pub address: String,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Number of its life.
+    /// Incarnation of the target.
     pub incarnation: Incarnation,
-    /// Slots that it announced.
+    /// Announced slots.
     pub slots: Slots,
-    /// Its state, such as `ready`, `leaving` or `ejected`.
+    /// State, such as `ready`, `leaving` or `ejected`.
     pub state: String,
 }
--- a/crates/auburnbridge_operator/tests/operator.rs
+++ b/crates/auburnbridge_operator/tests/operator.rs
@@ -1,4 +1,4 @@
-//! Guards the calls of operators: who may change what, and what a refused call is told.
+//! Tests the calls of operators: who may change which lines, and what a refusal states.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,20 +22,20 @@
 team warehouse may change stock # asked by Jonas
 ";
 
-/// A state machine without a log.
+/// Store that applies edits directly to the state machine, without a log.
 #[derive(Default)]
 struct FakeStore {
     config: Mutex<Config>,
     submitted: AtomicU64,
-    /// When set, reads answer with this revision's number although the log is further.
-    lagging: Mutex<Option<RulesInForce>>,
+    /// If set, reads return these rules although the state machine has a later revision.
+    stale_rules: Mutex<Option<RulesInForce>>,
     failure: Mutex<Option<StoreError>>,
 }
 
 impl ConfigStore for FakeStore {
     fn rules(&self) -> BoxFuture<'_, Result<RulesInForce, StoreError>> {
         Box::pin(async {
-            if let Some(rules) = self.lagging.lock().await.clone() {
+            if let Some(rules) = self.stale_rules.lock().await.clone() {
                 return Ok(rules);
             }
             let config = self.config.lock().await;
@@ -97,7 +97,7 @@
 }
 
 impl Fixture {
-    /// A server whose rules are at revision 1.
+    /// Creates a server whose rules are at revision 1.
     fn new() -> Self {
         let store = Arc::new(FakeStore::default());
         let keys = OperatorKeys::new(vec![
@@ -111,12 +111,12 @@
         ]);
         let server = server(Arc::clone(&store) as Arc<dyn ConfigStore>, keys);
         let fixture = Self { store, server };
-        let first = Call::put("root", RULES).expecting(0);
+        let first = Call::put("root", RULES).if_match(0);
         assert!(fixture.send(first).starts_with("200 "));
         fixture
     }
 
-    /// Status, headers of interest and body of the answer.
+    /// Returns the status, the relevant headers and the body of the response.
     fn send(&self, call: Call) -> String {
         block_on(async {
             let mut response: Response = self.server.respond(call.into_request()).await.unwrap();
@@ -169,32 +169,32 @@
     }
 
     fn put(secret: &str, body: &str) -> Self {
-        Self::new(Method::Put, "/auburnbridge/rules", secret, body).with_id(body)
+        Self::new(Method::Put, "/auburnbridge/rules", secret, body).with_edit_id(body)
     }
 
     fn patch(secret: &str, body: &str) -> Self {
-        Self::new(Method::Patch, "/auburnbridge/rules", secret, body).with_id(body)
+        Self::new(Method::Patch, "/auburnbridge/rules", secret, body).with_edit_id(body)
     }
 
-    /// An id that depends on the text, so that calls of different texts have different ids.
-    fn with_id(self, text: &str) -> Self {
+    /// Sets an edit id derived from the text, so that calls with different texts have different ids.
+    fn with_edit_id(self, text: &str) -> Self {
         let mut random = [0; 10];
         random[2..].copy_from_slice(&KeyDigest::of(text).0[..8]);
         let id = IdempotencyKey::from_parts(NOW, random).to_string();
-        self.with("Auburnbridge-Edit-Id", &id)
+        self.with_header("Auburnbridge-Edit-Id", &id)
     }
 
-    fn expecting(self, revision: u64) -> Self {
-        self.with("If-Match", &format!("\"{revision}\""))
+    fn if_match(self, revision: u64) -> Self {
+        self.with_header("If-Match", &format!("\"{revision}\""))
     }
 
-    fn with(mut self, name: &'static str, value: &str) -> Self {
+    fn with_header(mut self, name: &'static str, value: &str) -> Self {
         self.headers.retain(|(other, _)| *other != name);
         self.headers.push((name, value.to_owned()));
         self
     }
 
-    fn without(mut self, name: &str) -> Self {
+    fn without_header(mut self, name: &str) -> Self {
         self.headers.retain(|(other, _)| *other != name);
         self
     }
@@ -217,59 +217,61 @@
     serde_json::json!({ "set": { "text": line } }).to_string()
 }
 
-/// Guards against a read that leaks to strangers or loses its revision.
+/// Guards against a read that works without a known key, and against a response that lacks its
+/// revision.
 #[test]
-fn reads() {
+fn reads_require_a_known_key() {
     let fixture = Fixture::new();
     let rules = Call::get("/auburnbridge/rules");
     let answers = [
         fixture.send(rules.clone()),
-        fixture.send(rules.clone().with("If-None-Match", "\"1\"")),
+        fixture.send(rules.clone().with_header("If-None-Match", "\"1\"")),
         fixture.send(Call::get("/auburnbridge/rules/history")),
         fixture.send(Call::get("/auburnbridge/status")),
         fixture.send(Call::get("/auburnbridge/targets")),
-        fixture.send(rules.clone().without("Authorization")),
-        fixture.send(rules.clone().with("Authorization", "Basic ana")),
-        fixture.send(rules.with("Authorization", "Bearer anna")),
+        fixture.send(rules.clone().without_header("Authorization")),
+        fixture.send(rules.clone().with_header("Authorization", "Basic ana")),
+        fixture.send(rules.with_header("Authorization", "Bearer anna")),
         fixture.send(Call::get("/auburnbridge/other")),
         fixture.send(Call::new(Method::Delete, "/auburnbridge/rules", "root", "")),
     ];
     insta::assert_snapshot!(answers.join("\n"));
 }
 
-/// Guards against an edit that is refused without a reason, or accepted in spite of one.
+/// Guards against an edit that is refused without a reason, and against an invalid edit that is
+/// accepted.
 #[test]
-fn refused_edits() {
+fn refused_edits_state_the_reason() {
     let fixture = Fixture::new();
-    let patch = |body: &str| Call::patch("root", body).expecting(1);
+    let patch = |body: &str| Call::patch("root", body).if_match(1);
     let valid = set("keys remember 48h # asked by Jonas");
     let whole = "service stock slots-floor many # asked by Meera\n";
     let answers = [
-        patch(&valid).with("Authorization", "Bearer nobody"),
-        patch(&valid).without("If-Match"),
-        patch(&valid).with("If-Match", "*"),
-        patch(&valid).with("If-Match", "W/\"1\""),
-        patch(&valid).without("Auburnbridge-Edit-Id"),
-        patch(&valid).with("Auburnbridge-Edit-Id", "7"),
-        patch(&valid).expecting(0),
-        patch(&valid).expecting(2),
+        patch(&valid).with_header("Authorization", "Bearer nobody"),
+        patch(&valid).without_header("If-Match"),
+        patch(&valid).with_header("If-Match", "*"),
+        patch(&valid).with_header("If-Match", "W/\"1\""),
+        patch(&valid).without_header("Auburnbridge-Edit-Id"),
+        patch(&valid).with_header("Auburnbridge-Edit-Id", "7"),
+        patch(&valid).if_match(0),
+        patch(&valid).if_match(2),
         patch("{"),
         patch(r#"{"set": {"text": "", "line": 7}}"#),
         patch(r#"{"remove": {"key": "nonsense"}}"#),
         patch(r#"{"remove": {"key": "keys"}}"#),
         patch(&"x".repeat(MAX_LINE_EDIT_BYTES + 1)),
-        Call::put("root", whole).expecting(1),
+        Call::put("root", whole).if_match(1),
     ]
     .map(|call| fixture.send(call));
     insta::assert_snapshot!(answers.join("\n"));
     assert!(
         fixture
-            .send(patch(&valid).with_id("new"))
+            .send(patch(&valid).with_edit_id("new"))
             .starts_with("200 ")
     );
 }
 
-/// Guards against an operator who changes the lines of another team's service.
+/// Guards against an operator who can change the lines of another team's service.
 #[test]
 fn keys_change_only_their_services() {
     let to_dispatch = "route GET /bins/* to dispatch idempotent # asked by Ana";
@@ -314,7 +316,7 @@
     ];
     for (secret, body, allowed) in cases {
         let fixture = Fixture::new();
-        let answer = fixture.send(Call::patch(secret, &body).expecting(1));
+        let answer = fixture.send(Call::patch(secret, &body).if_match(1));
         let expected = if allowed { "200 " } else { "403 " };
         assert!(answer.starts_with(expected), "{secret} {body}: {answer}");
         let proposed = fixture.store.submitted.load(Ordering::Relaxed);
@@ -324,17 +326,18 @@
     let whole = RULES.replace("slots-floor 8", "slots-floor 9");
     assert!(
         fixture
-            .send(Call::put("meera", &whole).expecting(1))
+            .send(Call::put("meera", &whole).if_match(1))
             .starts_with("403 ")
     );
     assert!(
         fixture
-            .send(Call::put("ana", &whole).expecting(1))
+            .send(Call::put("ana", &whole).if_match(1))
             .starts_with("200 ")
     );
 }
 
-/// Guards against a resend after a lost response that is refused as stale or runs twice.
+/// Guards against an edit that is refused as stale or applied twice when it is resent after a lost
+/// response.
 #[test]
 fn resent_edit_gets_its_first_reply() {
     let fixture = Fixture::new();
@@ -342,16 +345,16 @@
         "meera",
         &set("service stock slots-floor 12 # asked by Meera"),
     )
-    .expecting(1);
+    .if_match(1);
     *block_on(fixture.store.failure.lock()) = Some(StoreError::OutcomeUnknown);
     let lost = fixture.send(call.clone());
     *block_on(fixture.store.failure.lock()) = None;
-    // The resend gets the first reply even if its author has since lost the right to the edit.
+    // The resend gets the first reply even if its author may no longer make this edit.
     let other: Vec<&str> = RULES
         .lines()
         .filter(|line| !line.starts_with("team"))
         .collect();
-    let other = Call::put("root", &other.join("\n")).expecting(2);
+    let other = Call::put("root", &other.join("\n")).if_match(2);
     let answers = [
         lost,
         fixture.send(other),
@@ -365,25 +368,26 @@
     );
 }
 
-/// Guards against an edit that is authorized against older rules than it is applied to.
+/// Guards against an edit that is authorized against older rules than those to which it is applied,
+/// while a process lags behind the log.
 #[test]
-fn lagging_rules_authorize_nothing() {
+fn stale_rules_authorize_no_edit() {
     let fixture = Fixture::new();
     let old = block_on(fixture.store.rules()).unwrap();
     let revoke = Call::patch(
         "root",
         r#"{"remove": {"key": "team warehouse may change stock"}}"#,
     );
-    assert!(fixture.send(revoke.expecting(1)).starts_with("200 "));
-    *block_on(fixture.store.lagging.lock()) = Some(old);
+    assert!(fixture.send(revoke.if_match(1)).starts_with("200 "));
+    *block_on(fixture.store.stale_rules.lock()) = Some(old);
     let edit = || {
         Call::patch(
             "meera",
             &set("service stock slots-floor 12 # asked by Meera"),
         )
     };
-    assert!(fixture.send(edit().expecting(2)).starts_with("503 "));
-    assert!(fixture.send(edit().expecting(1)).starts_with("412 "));
+    assert!(fixture.send(edit().if_match(2)).starts_with("503 "));
+    assert!(fixture.send(edit().if_match(1)).starts_with("412 "));
     assert_eq!(
         block_on(fixture.store.config.lock()).revision(),
         Revision(2)
