--- a/crates/auburnbridge_keeper/src/core.rs
+++ b/crates/auburnbridge_keeper/src/core.rs
@@ -139,8 +139,8 @@
 /// Error that ends the thread.
 #[derive(Debug)]
 pub enum CoreError {
-    /// Reading or writing the data folder failed. The replica may have acknowledged records that it
-    /// has not stored.
+    /// Reading or writing the data folder failed. The replica may have promised votes or records
+    /// that it has not stored.
     Store(StoreError),
     /// A peer has seen a later start from this data folder, so this one is an old copy.
     FolderSuperseded,
@@ -351,8 +351,8 @@
     /// `replica` as a learner, removes the lost member, and promotes the learner once it has caught
     /// up.
     ///
-    /// The lost member is removed before the promotion: while both are voters, a quorum needs every
-    /// remaining member, and the loss of a second VM would stop the group.
+    /// The lost member is removed before the promotion: if both were voters, a quorum would need
+    /// every remaining member, and the loss of a second VM would stop the group.
     fn join(
         &mut self,
         vm: VmId,
--- a/crates/auburnbridge_keeper/src/formation.rs
+++ b/crates/auburnbridge_keeper/src/formation.rs
@@ -3,9 +3,9 @@
 //!
 //! Only the first keeper in the settings founds the group, and only if every other keeper reports
 //! that it has no group. The others adopt the member list from any member whose list contains their
-//! data folder. Where the settings name only some of the keepers, the remaining ones ask these to be
-//! added. An empty data folder on the VM of a member is therefore never mistaken for the member: it
-//! is not in the list, so the keeper asks the leader to be added as a learner.
+//! data folder. Where the settings name only some of the keepers, the remaining ones ask those to add
+//! them. An empty data folder on the VM of a member is therefore never mistaken for the member: it is
+//! not in the list, so the keeper asks the leader to add it as a learner.
 
 use std::sync::Arc;
 
