--- a/crates/auburnbridge_rules/src/difference.rs
+++ b/crates/auburnbridge_rules/src/difference.rs
@@ -10,23 +10,23 @@
 
 /// One rule that differs between two files.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
-    /// The words that identify the line.
+pub struct RuleChange {
+    /// The leading words that identify the line.
     pub key: LineKey,
-    /// The line in the old file, when it has one.
+    /// The line in the old file; `None` for an added rule.
     pub before: Option<ChangedLine>,
-    /// The line in the new file, when it has one.
+    /// The line in the new file; `None` for a removed rule.
     pub after: Option<ChangedLine>,
 }
 
-/// One side of a change.
+/// The old or the new line of a changed rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangedLine {
     /// Number of the line, counted from 1.
     pub number: u32,
-    /// The line without the spaces around it.
+    /// The line without surrounding white space.
     pub text: String,
-    /// The service to which the line belongs; `None` for lines that concern every service.
+    /// The service to which the line belongs; `None` for lines that apply to every service.
     pub service: Option<ServiceName>,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-impl fmt::Display for Change {
+impl fmt::Display for RuleChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (&self.before, &self.after) {
             (Some(before), Some(after)) => write!(f, "- {}\n+ {}", before.text, after.text),
@@ -51,10 +51,11 @@
     }
 }
 
-/// The rules that differ, in the order of the new file, followed by the removed ones.
+/// Lists the changed and added rules in the order of the new file, then the removed rules in the
+/// order of the old file.
 ///
-/// The order of lines, their spacing and lines without a rule make no difference.
-pub fn difference(old: &Rules, new: &Rules) -> Vec<Change> {
+/// The order of lines, their spacing and lines without a rule are ignored.
+pub fn difference(old: &Rules, new: &Rules) -> Vec<RuleChange> {
     let mut before: HashMap<LineKey, RuleLine<'_>> = rule_lines(old.text())
         .map(|line| (line.key.clone(), line))
         .collect();
@@ -67,7 +68,7 @@
         {
             continue;
         }
-        changes.push(Change {
+        changes.push(RuleChange {
             before: earlier.as_ref().map(ChangedLine::new),
             after: Some(ChangedLine::new(&line)),
             key: line.key,
@@ -75,7 +76,7 @@
     }
     let mut removed: Vec<RuleLine<'_>> = before.into_values().collect();
     removed.sort_by_key(|line| line.number);
-    changes.extend(removed.into_iter().map(|line| Change {
+    changes.extend(removed.into_iter().map(|line| RuleChange {
         before: Some(ChangedLine::new(&line)),
         after: None,
         key: line.key,
--- a/crates/auburnbridge_rules/src/digest.rs
+++ b/crates/auburnbridge_rules/src/digest.rs
@@ -1,9 +1,9 @@
 //! Digests of rules texts.
 //!
 //! A digest is the sum, modulo 2^256, of the SHA-256 digests of the lines, so that an edit of one
-//! line costs two hashes whatever the length of the file. It finds damaged and diverged texts. It
-//! does not cover the order of the lines, which has no meaning, and it is not meant to withstand a
-//! forger: peers authenticate each other.
+//! line costs two hashes regardless of the file's length. It detects corrupted and diverged texts.
+//! The order of the lines has no meaning and doesn't affect the digest. The digest doesn't resist
+//! deliberate forgery; peers authenticate each other.
 
 use std::fmt;
 
@@ -22,15 +22,15 @@
 impl TextDigest {
     /// Computes the digest of `text`.
     pub fn of(text: &str) -> Self {
-        file_lines(text).fold(Self::default(), Self::with)
+        file_lines(text).fold(Self::default(), Self::with_line)
     }
 
-    /// The digest after a line was added.
+    /// Digest of the text with `line` added.
     #[must_use]
-    pub(crate) fn with(self, line: &str) -> Self {
+    pub(crate) fn with_line(self, line: &str) -> Self {
         let mut carry = false;
         let mut sum = self.0;
-        for (limb, added) in sum.iter_mut().zip(limbs(line)) {
+        for (limb, added) in sum.iter_mut().zip(line_digest(line)) {
             let (partial, first) = limb.overflowing_add(added);
             let (total, second) = partial.overflowing_add(u64::from(carry));
             *limb = total;
@@ -39,12 +39,12 @@
         Self(sum)
     }
 
-    /// The digest after a line was removed.
+    /// Digest of the text with `line` removed.
     #[must_use]
-    pub(crate) fn without(self, line: &str) -> Self {
+    pub(crate) fn without_line(self, line: &str) -> Self {
         let mut borrow = false;
         let mut difference = self.0;
-        for (limb, removed) in difference.iter_mut().zip(limbs(line)) {
+        for (limb, removed) in difference.iter_mut().zip(line_digest(line)) {
             let (partial, first) = limb.overflowing_sub(removed);
             let (total, second) = partial.overflowing_sub(u64::from(borrow));
             *limb = total;
@@ -54,8 +54,8 @@
     }
 }
 
-/// Digest of a line, least significant limb first.
-fn limbs(line: &str) -> [u64; LIMBS] {
+/// SHA-256 digest of a line, least significant limb first.
+fn line_digest(line: &str) -> [u64; LIMBS] {
     let digest = Sha256::digest(line.as_bytes());
     let mut limbs = [0; LIMBS];
     for (limb, bytes) in limbs.iter_mut().zip(digest.chunks_exact(LIMB_BYTES)) {
--- a/crates/auburnbridge_rules/src/edit.rs
+++ b/crates/auburnbridge_rules/src/edit.rs
@@ -6,19 +6,19 @@
 use crate::error::RuleError;
 use crate::line::file_lines;
 
-/// One edit; the edits of a list apply one after the other, and lines are counted from 1.
+/// An edit of one line. Edits of a list apply in order; line numbers start at 1.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LineEdit {
-    /// Puts another text in place of a line.
+    /// Replaces the text of a line.
     Replace {
         /// Number of the line.
         line: u32,
         /// The new text, without a line feed.
         text: String,
     },
-    /// Adds a line, which gets this number; the line that had it and those after it move down.
+    /// Inserts a line before the line that has this number.
     Insert {
-        /// Number of the new line, at most one more than there are lines.
+        /// Number of the new line, at most one more than the number of lines.
         line: u32,
         /// The text, without a line feed.
         text: String,
@@ -31,7 +31,7 @@
 }
 
 impl LineEdit {
-    /// Number of the line that the edit concerns.
+    /// Number of the edited line.
     pub fn line(&self) -> u32 {
         match self {
             Self::Replace { line, .. } | Self::Insert { line, .. } | Self::Remove { line } => *line,
@@ -39,30 +39,31 @@
     }
 }
 
-/// Lines that a list of edits took out of a file and put into it.
+/// Lines that a list of edits removes from a file and adds to it.
 #[derive(Debug, Default)]
-pub(crate) struct Replaced<'a> {
+pub(crate) struct LineDelta<'a> {
     pub(crate) removed: Vec<&'a str>,
     pub(crate) added: Vec<&'a str>,
 }
 
-impl<'a> Replaced<'a> {
-    /// The digest of the edited text, from that of the text before.
-    pub(crate) fn update(&self, digest: TextDigest) -> TextDigest {
+impl<'a> LineDelta<'a> {
+    /// Computes the digest of the edited text from `digest`, that of the text before the edits.
+    pub(crate) fn updated_digest(&self, digest: TextDigest) -> TextDigest {
         let kept = self
             .removed
             .iter()
-            .fold(digest, |digest, line| digest.without(line));
+            .fold(digest, |digest, line| digest.without_line(line));
         self.added
             .iter()
-            .fold(kept, |digest, line| digest.with(line))
+            .fold(kept, |digest, line| digest.with_line(line))
     }
 
     fn add(&mut self, line: &'a str) {
         self.added.push(line);
     }
 
-    /// Notes a line that was taken out; a line of an earlier edit of the list is in no table yet.
+    /// Records a removed line. A line that an earlier edit of the list added is dropped from
+    /// `added` instead, since the tables don't hold it yet.
     fn remove(&mut self, line: &'a str) {
         match self.added.iter().position(|added| *added == line) {
             Some(position) => {
@@ -73,25 +74,29 @@
     }
 }
 
-/// The edited text, which ends in a line feed, and the lines in which it differs.
+/// Applies the edits and returns the edited text, whose lines all end in a line feed, with the
+/// lines that changed.
 pub(crate) fn apply<'a>(
     text: &'a str,
     edits: &'a [LineEdit],
-) -> Result<(String, Replaced<'a>), RuleError> {
+) -> Result<(String, LineDelta<'a>), RuleError> {
     let mut lines: Vec<&str> = file_lines(text).collect();
-    let mut replaced = Replaced::default();
+    let mut delta = LineDelta::default();
     for edit in edits {
-        let index = index(edit, lines.len())?;
+        let index = line_index(edit, lines.len())?;
         match edit {
             LineEdit::Replace { text, .. } => {
-                replaced.remove(std::mem::replace(&mut lines[index], checked(edit, text)?));
-                replaced.add(text);
+                delta.remove(std::mem::replace(
+                    &mut lines[index],
+                    single_line(edit, text)?,
+                ));
+                delta.add(text);
             }
             LineEdit::Insert { text, .. } => {
-                lines.insert(index, checked(edit, text)?);
-                replaced.add(text);
+                lines.insert(index, single_line(edit, text)?);
+                delta.add(text);
             }
-            LineEdit::Remove { .. } => replaced.remove(lines.remove(index)),
+            LineEdit::Remove { .. } => delta.remove(lines.remove(index)),
         }
     }
     let mut edited = String::with_capacity(text.len() + edits.len() * 128);
@@ -99,13 +104,13 @@
         edited.push_str(line);
         edited.push('\n');
     }
-    Ok((edited, replaced))
+    Ok((edited, delta))
 }
 
-fn index(edit: &LineEdit, count: usize) -> Result<usize, RuleError> {
+fn line_index(edit: &LineEdit, line_count: usize) -> Result<usize, RuleError> {
     let end = match edit {
-        LineEdit::Insert { .. } => count + 1,
-        LineEdit::Replace { .. } | LineEdit::Remove { .. } => count,
+        LineEdit::Insert { .. } => line_count + 1,
+        LineEdit::Replace { .. } | LineEdit::Remove { .. } => line_count,
     };
     usize::try_from(edit.line())
         .ok()
@@ -115,14 +120,14 @@
             RuleError::new(
                 edit.line(),
                 &edit.line().to_string(),
-                format!("the number of the last line is {count}"),
+                format!("the number of the last line is {line_count}"),
                 "name a line of the file",
             )
         })
 }
 
-/// Refuses a text that would become several lines.
-fn checked<'a>(edit: &LineEdit, text: &'a str) -> Result<&'a str, RuleError> {
+/// Refuses a text of several lines.
+fn single_line<'a>(edit: &LineEdit, text: &'a str) -> Result<&'a str, RuleError> {
     if text.contains('\n') {
         let fix = "send one line, without a line feed";
         let quoted = text.escape_debug().to_string();
--- a/crates/auburnbridge_rules/src/error.rs
+++ b/crates/auburnbridge_rules/src/error.rs
@@ -4,15 +4,15 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Longest offending text that an error repeats.
+/// Longest offending text that an error quotes.
 const MAX_QUOTED_CHARS: usize = 120;
 
-/// One reason why a rules file is refused.
+/// An error in a rules file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RuleError {
-    /// Number of the line, counted from 1.
+    /// Line number, counted from 1.
     pub line: u32,
-    /// The offending text, shortened when it is long.
+    /// The offending text, truncated if it is long.
     pub text: String,
     /// What is wrong with it.
     pub problem: String,
@@ -21,11 +21,11 @@
 }
 
 impl RuleError {
-    /// Describes `text` on `line` as wrong.
+    /// Creates an error about `text` on `line`.
     pub fn new(line: u32, text: &str, problem: impl Into<String>, fix: impl Into<String>) -> Self {
         Self {
             line,
-            text: shortened(text),
+            text: truncated(text),
             problem: problem.into(),
             fix: fix.into(),
         }
@@ -44,7 +44,7 @@
 
 impl std::error::Error for RuleError {}
 
-fn shortened(text: &str) -> String {
+fn truncated(text: &str) -> String {
     match text.char_indices().nth(MAX_QUOTED_CHARS) {
         Some((end, _)) => format!("{}...", &text[..end]),
         None => text.to_owned(),
--- a/crates/auburnbridge_rules/src/lib.rs
+++ b/crates/auburnbridge_rules/src/lib.rs
@@ -1,9 +1,9 @@
 //! The rules file: grammar, checks, differences and route lookup.
 //!
-//! The file holds one rule a line, and each line ends in a comment that names who asked for it.
-//! [`grammar`] declares every kind of line and every option once; parsing, error messages and the
-//! reference in `docs/rules.md` derive from it. A file is accepted or refused as a whole, and a
-//! refusal lists every error.
+//! The file holds one rule per line, and each rule ends in a comment that names who asked for it.
+//! [`grammar`] declares every kind of line and every option once; the parser, the error messages
+//! and the reference in `docs/rules.md` are derived from it. A file is accepted or refused as a
+//! whole, and a refusal lists every error.
 
 mod check;
 mod difference;
@@ -22,7 +22,7 @@
 mod rules;
 mod value;
 
-pub use difference::{Change, ChangedLine, difference};
+pub use difference::{ChangedLine, RuleChange, difference};
 pub use digest::TextDigest;
 pub use edit::LineEdit;
 pub use error::RuleError;
--- a/crates/auburnbridge_rules/src/line.rs
+++ b/crates/auburnbridge_rules/src/line.rs
@@ -1,4 +1,4 @@
-//! One line of the rules file, checked against its declaration.
+//! Parsing of one line by the grammar's declaration of its kind.
 
 use crate::error::RuleError;
 use crate::grammar::{LINES, LineSpec, OptionSpec, Part};
@@ -7,9 +7,9 @@
 /// Longest line, in bytes.
 pub const MAX_LINE_BYTES: usize = 1_024;
 
-const SIGNATURE: &str = "asked by ";
+const ASKED_BY_PREFIX: &str = "asked by ";
 
-/// A line whose words and values are valid by themselves.
+/// A line whose words and values are valid; references to other lines are not checked yet.
 pub(crate) struct ParsedLine<'a> {
     pub(crate) spec: &'static LineSpec,
     arguments: Vec<(&'a str, u64)>,
@@ -17,12 +17,12 @@
 }
 
 impl<'a> ParsedLine<'a> {
-    /// The word of an argument, counted from 0 over the arguments alone.
+    /// The word of an argument; `position` counts arguments only, from 0.
     pub(crate) fn word(&self, position: usize) -> &'a str {
         self.arguments[position].0
     }
 
-    /// The number of an argument, counted from 0 over the arguments alone.
+    /// The number of an argument; `position` counts arguments only, from 0.
     pub(crate) fn argument(&self, position: usize) -> u64 {
         self.arguments[position].1
     }
@@ -43,15 +43,15 @@
     }
 }
 
-/// Words of a line and the comment after them.
-pub(crate) struct LineText<'a> {
+/// A line split into its words and the comment after them.
+pub(crate) struct SplitLine<'a> {
     pub(crate) words: Vec<&'a str>,
     comment: Option<&'a str>,
 }
 
-impl<'a> LineText<'a> {
-    /// Splits a line; returns `None` for an empty line and for a line that is only a comment.
-    pub(crate) fn split(text: &'a str) -> Option<Self> {
+impl<'a> SplitLine<'a> {
+    /// Splits a line; returns `None` for an empty line or a line with only a comment.
+    pub(crate) fn parse(text: &'a str) -> Option<Self> {
         let (rule, comment) = match text.split_once('#') {
             Some((rule, comment)) => (rule, Some(comment.trim())),
             None => (text, None),
@@ -60,7 +60,7 @@
         (!words.is_empty()).then_some(Self { words, comment })
     }
 
-    /// Declaration that the first word names.
+    /// Declaration of the kind that the first word names.
     pub(crate) fn spec(&self) -> Option<&'static LineSpec> {
         LINES
             .iter()
@@ -68,28 +68,28 @@
             .find(|spec| spec.name == self.words[0])
     }
 
-    /// Name and details after `asked by`.
+    /// Name and details after `asked by`, if the name starts with a letter or digit.
     pub(crate) fn asked_by(&self) -> Option<&'a str> {
         self.comment?
-            .strip_prefix(SIGNATURE)
+            .strip_prefix(ASKED_BY_PREFIX)
             .map(str::trim)
             .filter(|name| name.starts_with(char::is_alphanumeric))
     }
 }
 
-/// The lines of a file; a carriage return before a line feed stays part of its line.
+/// The lines of a file, split at line feeds only; a carriage return stays part of its line.
 pub fn file_lines(text: &str) -> impl Iterator<Item = &str> {
     let lines = text.strip_suffix('\n').unwrap_or(text).split('\n');
     lines.take(if text.is_empty() { 0 } else { usize::MAX })
 }
 
-/// Parses one line; returns `None` when it holds no rule or was added to `errors`.
+/// Parses one line; returns `None` if it holds no rule or has errors, which are added to `errors`.
 pub(crate) fn parse_line<'a>(
     number: u32,
     text: &'a str,
     errors: &mut Vec<RuleError>,
 ) -> Option<ParsedLine<'a>> {
-    let before = errors.len();
+    let errors_before = errors.len();
     if text.len() > MAX_LINE_BYTES {
         errors.push(RuleError::new(
             number,
@@ -111,7 +111,7 @@
         ));
         return None;
     }
-    let line = LineText::split(text)?;
+    let line = SplitLine::parse(text)?;
     if line.asked_by().is_none() {
         errors.push(RuleError::new(
             number,
@@ -121,32 +121,32 @@
         ));
     }
     let Some(spec) = line.spec() else {
-        errors.push(unknown_kind(number, line.words[0]));
+        errors.push(unknown_line_kind(number, line.words[0]));
         return None;
     };
-    let mut words = Words {
+    let mut parser = LineParser {
         number,
         spec,
         rest: &line.words[1..],
         errors,
     };
-    let arguments = words.arguments()?;
-    let options = words.options();
-    (errors.len() == before).then_some(ParsedLine {
+    let arguments = parser.arguments()?;
+    let options = parser.options();
+    (errors.len() == errors_before).then_some(ParsedLine {
         spec,
         arguments,
         options,
     })
 }
 
-struct Words<'a, 'e> {
+struct LineParser<'a, 'e> {
     number: u32,
     spec: &'static LineSpec,
     rest: &'e [&'a str],
     errors: &'e mut Vec<RuleError>,
 }
 
-impl<'a> Words<'a, '_> {
+impl<'a> LineParser<'a, '_> {
     fn next(&mut self) -> Option<&'a str> {
         let (first, rest) = self.rest.split_first()?;
         self.rest = rest;
@@ -158,30 +158,30 @@
             .push(RuleError::new(self.number, text, problem, fix));
     }
 
-    /// Reads the fixed part; returns `None` when a word of it is missing or misplaced, since the
-    /// meaning of the words after it is then uncertain.
+    /// Parses the keywords and arguments; returns `None` if a word is missing or misplaced, since
+    /// the words after it can't be interpreted then.
     fn arguments(&mut self) -> Option<Vec<(&'a str, u64)>> {
         let mut arguments = Vec::new();
         for part in self.spec.parts {
             let Some(word) = self.next() else {
                 self.error(
                     self.spec.name,
-                    format!("the line ends before {}", describe(part)),
-                    format!("write it as `{}`", self.spec.form()),
+                    format!("the line ends before {}", describe_part(part)),
+                    format!("write it as `{}`", self.spec.syntax()),
                 );
                 return None;
             };
             match part {
-                Part::Word(expected) if *expected == word => {}
-                Part::Word(expected) => {
+                Part::Keyword(expected) if *expected == word => {}
+                Part::Keyword(expected) => {
                     self.error(
                         word,
                         format!("`{expected}` is missing here"),
-                        format!("write the line as `{}`", self.spec.form()),
+                        format!("write the line as `{}`", self.spec.syntax()),
                     );
                     return None;
                 }
-                Part::Argument(argument) => match argument.kind.read(word) {
+                Part::Argument(argument) => match argument.kind.parse(word) {
                     Ok(number) => arguments.push((word, number)),
                     Err(expected) => {
                         self.error(
@@ -202,7 +202,7 @@
         while let Some(word) = self.next() {
             let Some(option) = self.spec.options.iter().find(|option| option.name == word) else {
                 self.unknown_option(word);
-                // A word that follows is most likely the value of the unknown option.
+                // The next word, unless it is an option, is most likely the unknown option's value.
                 if self.rest.first().is_some_and(|next| !self.is_option(next)) {
                     self.next();
                 }
@@ -220,7 +220,7 @@
                 self.error(word, "the option is given twice", "keep one of the two");
                 continue;
             }
-            match option.kind.read(value) {
+            match option.kind.parse(value) {
                 Ok(number) => options.push((option.name, number)),
                 Err(expected) => {
                     options.push((option.name, 0));
@@ -260,7 +260,7 @@
     }
 }
 
-fn unknown_kind(number: u32, word: &str) -> RuleError {
+fn unknown_line_kind(number: u32, word: &str) -> RuleError {
     let names = || LINES.iter().map(|spec| spec.name);
     let fix = match nearest(word, names()) {
         Some(known) => format!("did you mean `{known}`?"),
@@ -269,9 +269,9 @@
     RuleError::new(number, word, "unknown kind of line", fix)
 }
 
-fn describe(part: &Part) -> String {
+fn describe_part(part: &Part) -> String {
     match part {
-        Part::Word(word) => format!("`{word}`"),
+        Part::Keyword(word) => format!("`{word}`"),
         Part::Argument(argument) => format!("its {}", argument.name),
     }
 }
@@ -282,16 +282,16 @@
 }
 
 impl LineSpec {
-    /// The form of the line without its options.
-    pub(crate) fn form(&self) -> String {
-        let mut form = self.name.to_owned();
+    /// Syntax of the line without its options.
+    pub(crate) fn syntax(&self) -> String {
+        let mut syntax = self.name.to_owned();
         for part in self.parts {
-            form.push(' ');
-            form.push_str(match part {
-                Part::Word(word) => word,
+            syntax.push(' ');
+            syntax.push_str(match part {
+                Part::Keyword(word) => word,
                 Part::Argument(argument) => argument.name,
             });
         }
-        form
+        syntax
     }
 }
--- a/crates/auburnbridge_rules/src/model.rs
+++ b/crates/auburnbridge_rules/src/model.rs
@@ -1,4 +1,4 @@
-//! The rules in typed form.
+//! Typed form of the rules.
 
 use std::fmt;
 
@@ -38,13 +38,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumIter, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "lowercase")]
 pub enum Class {
-    /// May be retried and hedged.
+    /// The request may be retried and hedged.
     Idempotent,
-    /// Runs at most once and needs an idempotency key.
+    /// The request runs at most once and needs an idempotency key.
     Once,
 }
 
-/// A share in percent.
+/// A percentage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Percent(pub u32);
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Position between few false ejections (0) and fast detection (100).
+/// Ejection sensitivity, from few false ejections (0) to fast detection (100).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EjectionSensitivity(pub u8);
 
@@ -72,9 +72,9 @@
 pub struct Service {
     /// The service's name.
     pub name: ServiceName,
-    /// Slots that ejections leave in use.
+    /// Slots that stay in use despite ejections.
     pub slots_floor: Slots,
-    /// Slots that a target of the service is expected to announce.
+    /// Slots that each target is expected to announce.
     pub slots_per_target: Slots,
     /// Largest number of targets that the service is expected to have.
     pub most_targets: u32,
@@ -82,11 +82,11 @@
     pub ejection: EjectionSensitivity,
     /// Retries and hedged requests as a share of the requests.
     pub retry_percent: Percent,
-    /// Retries and hedged requests that are allowed on top of the share.
+    /// Retries and hedged requests that one entry may send on top of that share.
     pub retry_rate: RatePerSecond,
     /// Requests that may wait for a slot on one entry.
     pub queue: u32,
-    /// Share of the slots that idempotent requests keep while other work waits.
+    /// Share of the slots guaranteed to idempotent requests while `once` requests wait.
     pub lookup_share: Percent,
 }
 
@@ -103,7 +103,7 @@
     pub class: Class,
     /// Time allowed for a request, counted from its arrival.
     pub timeout: Millis,
-    /// Largest response body that is passed on.
+    /// Largest response body that is forwarded.
     pub largest_answer: ByteSize,
 }
 
@@ -112,7 +112,7 @@
 pub struct Account {
     /// Sustained rate of requests on one entry.
     pub limit: RatePerSecond,
-    /// Requests that may arrive at once after a quiet time.
+    /// Largest burst of requests after an idle period.
     pub burst: u32,
 }
 
@@ -126,7 +126,7 @@
 }
 
 impl Team {
-    /// The service that the line names.
+    /// The service named in the line; `None` if the team may change every line.
     pub fn service(&self) -> Option<&ServiceName> {
         match &self.scope {
             TeamScope::Service(name) => Some(name),
--- a/crates/auburnbridge_rules/src/nearest.rs
+++ b/crates/auburnbridge_rules/src/nearest.rs
@@ -1,6 +1,7 @@
-//! Suggestions for misspelt words.
+//! Suggestions for misspelled words.
 
-/// The candidate with the fewest edits from `word`, if it is at most a third of the word away.
+/// The candidate with the smallest edit distance from `word`, if the distance is at most a third of
+/// the word's length, rounded up.
 pub(crate) fn nearest<'a>(
     word: &str,
     candidates: impl IntoIterator<Item = &'a str>,
@@ -8,14 +9,14 @@
     let limit = word.chars().count().div_ceil(3);
     candidates
         .into_iter()
-        .map(|candidate| (distance(word, candidate), candidate))
+        .map(|candidate| (edit_distance(word, candidate), candidate))
         .filter(|(edits, _)| *edits <= limit)
         .min_by_key(|(edits, _)| *edits)
         .map(|(_, candidate)| candidate)
 }
 
-/// Levenshtein distance, computed with one row of the table.
-fn distance(left: &str, right: &str) -> usize {
+/// Levenshtein distance, computed in place in one row of the table.
+fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
     for (row_number, left_char) in left.chars().enumerate() {
--- a/crates/auburnbridge_rules/src/path.rs
+++ b/crates/auburnbridge_rules/src/path.rs
@@ -1,8 +1,8 @@
-//! Paths of routes and of requests.
+//! Path patterns of routes and normalization of request paths.
 //!
-//! A target may treat differently spelt paths as the same resource. A request whose spelling
-//! bypassed the route of a non-idempotent operation could run twice, so both sides of a lookup use
-//! one spelling: percent-encoded unreserved characters are decoded (RFC 3986, section 6.2.2), and
+//! A target may treat differently spelled paths as the same resource. A request whose spelling
+//! bypasses the route of a non-idempotent operation could run twice, so both sides of a lookup are
+//! normalized: percent-encoded unreserved characters are decoded (RFC 3986, section 6.2.2), and
 //! paths with dot segments, empty segments or encoded separators match no route.
 
 use std::borrow::Cow;
@@ -13,11 +13,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidPath(pub &'static str);
 
-/// Paths that a route matches.
+/// An exact path, or a wildcard for every path that starts with a prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PathPattern {
-    /// The whole path, or for a wildcard the part up to and including the last `/`; shared by the
-    /// copies of the rules that successive edits make.
+    /// The whole path, or for a wildcard the part up to and including the last `/`. Shared between
+    /// the copies of the rules that successive edits create.
     pub(crate) stem: Arc<str>,
     pub(crate) wildcard: bool,
 }
@@ -29,11 +29,11 @@
         Ok(Self::from_checked(text))
     }
 
-    /// Checks a path without building the pattern.
+    /// Validates a path without building the pattern.
     pub(crate) fn check(text: &str) -> Result<(), InvalidPath> {
         let (stem, _) = split_wildcard(text);
         if stem.contains('*') {
-            return Err(InvalidPath("`*` stands only as the last segment"));
+            return Err(InvalidPath("`*` is allowed only as the last segment"));
         }
         if normalize(stem)? != stem {
             return Err(InvalidPath("an unreserved character is percent-encoded"));
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// Builds the pattern of a text that [`Self::check`] accepted.
+    /// Builds a pattern from a text that [`Self::check`] accepted.
     pub(crate) fn from_checked(text: &str) -> Self {
         let (stem, wildcard) = split_wildcard(text);
         Self {
@@ -75,7 +75,7 @@
     }
 }
 
-/// The one spelling under which a request's path, without its query, is looked up.
+/// Normalizes a request's path, given without its query, for the lookup.
 pub fn normalize(path: &str) -> Result<Cow<'_, str>, InvalidPath> {
     if !path.starts_with('/') {
         return Err(InvalidPath("a path starts with `/`"));
--- a/crates/auburnbridge_rules/src/route_table.rs
+++ b/crates/auburnbridge_rules/src/route_table.rs
@@ -2,7 +2,8 @@
 //!
 //! One hash set holds exact paths and wildcards. A lookup probes the exact path and then each
 //! prefix that ends in `/`, longest first, so its cost depends on the depth of the path and not on
-//! the number of routes. The deepest wildcard bounds the probes of a path with many segments.
+//! the number of routes. The depth of the deepest wildcard limits the number of probes for a path
+//! with many segments.
 
 use std::hash::{Hash, Hasher};
 
@@ -14,11 +15,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RouteTable {
     routes: IndexSet<StoredRoute>,
-    deepest_wildcard: usize,
+    max_wildcard_depth: usize,
 }
 
-/// A route that is hashed and compared by its method and path alone, so that the set needs no
-/// second copy of the path.
+/// A route that is hashed and compared by its method and path only, so that the set needs no second
+/// copy of the path.
 #[derive(Clone, Debug)]
 struct StoredRoute(Route);
 
@@ -60,16 +61,16 @@
 }
 
 impl RouteTable {
-    /// Adds a route; returns whether its method and path were not in the table yet.
+    /// Adds a route; returns `false` if there was one with the same method and path.
     pub(crate) fn insert(&mut self, route: Route) -> bool {
         if route.path.wildcard {
-            let depth = slashes(&route.path.stem);
-            self.deepest_wildcard = self.deepest_wildcard.max(depth);
+            let depth = count_slashes(&route.path.stem);
+            self.max_wildcard_depth = self.max_wildcard_depth.max(depth);
         }
         self.routes.insert(StoredRoute(route))
     }
 
-    /// Removes a route. The depth of the deepest wildcard stays as an upper bound.
+    /// Removes a route. `max_wildcard_depth` is not lowered and remains an upper bound.
     pub(crate) fn remove(&mut self, method: Method, path: &PathPattern) {
         self.routes.swap_remove(&RouteKey {
             method,
@@ -86,7 +87,7 @@
         self.routes.iter().map(|stored| &stored.0)
     }
 
-    /// The route of a request; the path is given without its query.
+    /// The route of a request; `path` excludes the query.
     pub(crate) fn find(&self, method: Method, path: &str) -> Option<&Route> {
         let path = normalize(path).ok()?;
         let exact = self.get(method, false, &path);
@@ -96,7 +97,7 @@
     fn find_wildcard(&self, method: Method, path: &str) -> Option<&Route> {
         let deepest = path
             .match_indices('/')
-            .take(self.deepest_wildcard)
+            .take(self.max_wildcard_depth)
             .last()
             .map(|(at, _)| at)?;
         path[..=deepest]
@@ -114,6 +115,6 @@
     }
 }
 
-fn slashes(path: &str) -> usize {
+fn count_slashes(path: &str) -> usize {
     path.bytes().filter(|byte| *byte == b'/').count()
 }
--- a/crates/auburnbridge_rules/src/rule.rs
+++ b/crates/auburnbridge_rules/src/rule.rs
@@ -1,4 +1,4 @@
-//! One line in typed form.
+//! Conversion of parsed lines into typed rules.
 
 use std::str::FromStr;
 
@@ -35,11 +35,11 @@
             name if name == grammar::SERVICE_LINE.name => Self::Service(service(line)),
             name if name == grammar::ROUTE_LINE.name => Self::Route(route(line)),
             name if name == grammar::ACCOUNT_LINE.name => {
-                Self::Account(valid(line.word(0)), account(line))
+                Self::Account(parse_checked(line.word(0)), account(line))
             }
             name if name == grammar::KEYS_LINE.name => Self::KeyRetention(Millis(line.argument(0))),
             name if name == grammar::TEAM_LINE.name => Self::Team(team(line)),
-            name => unreachable!("`{name}` lines are declared and not read"),
+            name => unreachable!("`{name}` lines are declared but not converted"),
         }
     }
 }
@@ -47,7 +47,7 @@
 fn service(line: &ParsedLine<'_>) -> Service {
     let sensitivity = u8::try_from(line.option(&grammar::EJECTION));
     Service {
-        name: valid(line.word(0)),
+        name: parse_checked(line.word(0)),
         slots_floor: Slots(line.option_u32(&grammar::SLOTS_FLOOR)),
         slots_per_target: Slots(line.option_u32(&grammar::SLOTS_PER_TARGET)),
         most_targets: line.option_u32(&grammar::MOST_TARGETS),
@@ -63,10 +63,10 @@
 
 fn route(line: &ParsedLine<'_>) -> Route {
     Route {
-        method: valid(line.word(0)),
+        method: parse_checked(line.word(0)),
         path: PathPattern::from_checked(line.word(1)),
-        service: valid::<ServiceName>(line.word(2)),
-        class: valid(line.word(3)),
+        service: parse_checked::<ServiceName>(line.word(2)),
+        class: parse_checked(line.word(3)),
         timeout: Millis(line.option(&grammar::TIMEOUT)),
         largest_answer: ByteSize(line.option(&grammar::LARGEST_ANSWER)),
     }
@@ -81,16 +81,16 @@
 
 fn team(line: &ParsedLine<'_>) -> Team {
     Team {
-        name: valid(line.word(0)),
+        name: parse_checked(line.word(0)),
         scope: match line.word(1) {
             "*" => TeamScope::Everything,
-            service => TeamScope::Service(valid(service)),
+            service => TeamScope::Service(parse_checked(service)),
         },
     }
 }
 
-/// Converts a word that the grammar has checked.
-fn valid<T: FromStr>(word: &str) -> T {
+/// Parses a word that the grammar has already checked.
+fn parse_checked<T: FromStr>(word: &str) -> T {
     word.parse()
         .ok()
         .expect("the grammar checked the word with the same parser")
--- a/crates/auburnbridge_rules/src/rule_line.rs
+++ b/crates/auburnbridge_rules/src/rule_line.rs
@@ -1,4 +1,4 @@
-//! Lines of a file as texts, for edits and comparisons.
+//! Rule lines as text, for edits and comparisons.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,16 +6,16 @@
 use auburnbridge_types::ParseError;
 use serde::{Deserialize, Serialize};
 
-use crate::line::{LineText, file_lines};
+use crate::line::{SplitLine, file_lines};
 
-/// The words that identify a line, such as `route GET /bins/*`.
+/// The leading words that identify a line, such as `route GET /bins/*`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LineKey(String);
 
 impl LineKey {
-    /// The key of a line of known kind that has enough words.
-    pub(crate) fn of(line: &LineText<'_>) -> Option<Self> {
-        let words = line.words.get(..line.spec()?.key_words)?;
+    /// Key of a line; `None` if its kind is unknown or it has too few words.
+    pub(crate) fn of(line: &SplitLine<'_>) -> Option<Self> {
+        let words = line.words.get(..line.spec()?.key_word_count)?;
         Some(Self(words.join(" ")))
     }
 
@@ -25,7 +25,7 @@
         self.0.split(' ').all(|expected| {
             words
                 .next()
-                // A comment may follow the last word without a space.
+                // A comment may follow the last word without a space before `#`.
                 .is_some_and(|word| word.split('#').next() == Some(expected))
         })
     }
@@ -53,9 +53,9 @@
 impl FromStr for LineKey {
     type Err = ParseError;
 
-    /// Reads a key from its own text or from a whole line.
+    /// Parses a key from the text of the key or from a whole line.
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        LineText::split(text)
+        SplitLine::parse(text)
             .as_ref()
             .and_then(Self::of)
             .ok_or_else(|| {
@@ -69,21 +69,21 @@
 pub struct RuleLine<'a> {
     /// Number of the line, counted from 1.
     pub number: u32,
-    /// The line as it stands in the file.
+    /// The unmodified text of the line.
     pub text: &'a str,
-    /// The words that identify it.
+    /// The leading words that identify the line.
     pub key: LineKey,
     /// The service to which a `service` or `route` line belongs.
     pub service: Option<&'a str>,
-    /// Who asked for it, with any details.
+    /// Who asked for the rule, with any details that follow the name.
     pub asked_by: Option<&'a str>,
 }
 
-/// The lines of a file that hold a rule; a line of unknown kind is left out.
+/// The lines of a file that hold a rule, without lines of unknown kind.
 pub fn rule_lines(text: &str) -> impl Iterator<Item = RuleLine<'_>> {
     (1..).zip(file_lines(text)).filter_map(|(number, text)| {
-        let line = LineText::split(text)?;
-        let service = line.spec()?.service_word;
+        let line = SplitLine::parse(text)?;
+        let service = line.spec()?.service_word_index;
         Some(RuleLine {
             number,
             text,
@@ -94,7 +94,7 @@
     })
 }
 
-/// Whether two lines have the same words and the same comment, whatever their spacing.
+/// Whether two lines have the same words and the same comment, ignoring spacing.
 pub(crate) fn same_content(left: &str, right: &str) -> bool {
     left == right || left.split_whitespace().eq(right.split_whitespace())
 }
--- a/crates/auburnbridge_rules/src/rules.rs
+++ b/crates/auburnbridge_rules/src/rules.rs
@@ -1,4 +1,4 @@
-//! A whole rules file.
+//! A complete, validated rules file.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::route_table::RouteTable;
 use crate::rule::Rule;
 
-/// Longest rules file, in bytes: 86,000 routes take about 9 MiB.
+/// Largest rules file, in bytes; 86,000 routes take about 9 MiB.
 pub const MAX_TEXT_BYTES: usize = 32 << 20;
 
 /// An accepted rules file.
@@ -48,7 +48,7 @@
 }
 
 impl Rules {
-    /// Parses a file; a refused file gives every error, in the order of its lines.
+    /// Parses a file. The error lists every problem of the file, in the order of its lines.
     pub fn parse(text: &str) -> Result<Self, Vec<RuleError>> {
         check_size(text).map_err(|error| vec![error])?;
         let mut errors = Vec::new();
@@ -56,11 +56,11 @@
         let mut rules = Self::empty(text.into());
         for (number, line_text) in (1..).zip(file_lines(text)) {
             let Some(line) = parse_line(number, line_text, &mut errors) else {
-                checks.note_refused(line_text);
+                checks.record_refused(line_text);
                 continue;
             };
             if !rules.add(Rule::from(&line)) {
-                errors.push(checks.repeated(number, line_text));
+                errors.push(checks.duplicate_error(number, line_text));
             }
         }
         checks.finish(&rules, &mut errors);
@@ -74,14 +74,14 @@
         }
     }
 
-    /// The rules after a few lines were edited, at a fraction of the cost of parsing the file.
+    /// Applies a few line edits, at a fraction of the cost of parsing the edited file.
     ///
     /// The result is the same as that of [`Self::parse`] for the edited text.
     pub fn edited(&self, edits: &[LineEdit]) -> Result<Self, Vec<RuleError>> {
-        let (text, replaced) = edit::apply(&self.text, edits).map_err(|error| vec![error])?;
-        match self.edited_in_place(&text, &replaced) {
+        let (text, delta) = edit::apply(&self.text, edits).map_err(|error| vec![error])?;
+        match self.edited_incrementally(&text, &delta) {
             Some(rules) => Ok(rules),
-            // Parsing the whole text finds every error and its line.
+            // A parse of the whole text reports every error with its line.
             None => Self::parse(&text),
         }
     }
@@ -96,7 +96,7 @@
         self.digest
     }
 
-    /// The route of a request; `path` is the request's path without its query.
+    /// The route of a request; `path` excludes the query.
     ///
     /// An exact path wins over a wildcard and a longer wildcard over a shorter one. A path that
     /// can't be normalized has no route.
@@ -109,7 +109,7 @@
         self.routes.iter()
     }
 
-    /// The service of this name.
+    /// The service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.get(name)
     }
@@ -119,7 +119,7 @@
         self.services.values()
     }
 
-    /// Limits of an account: those of its line, or the default ones.
+    /// Limits of an account from its own line, else from `account default`, else the built-in ones.
     pub fn account(&self, account: &AccountId) -> Account {
         self.accounts
             .get(account)
@@ -155,21 +155,21 @@
         }
     }
 
-    /// Applies edits to a copy of the tables; returns `None` when the result is not valid.
-    fn edited_in_place(&self, text: &str, replaced: &edit::Replaced<'_>) -> Option<Self> {
+    /// Applies edits to a copy of the tables; returns `None` if the result is not valid.
+    fn edited_incrementally(&self, text: &str, delta: &edit::LineDelta<'_>) -> Option<Self> {
         check_size(text).ok()?;
         let mut rules = self.clone();
         rules.text = text.into();
-        rules.digest = replaced.update(self.digest);
+        rules.digest = delta.updated_digest(self.digest);
         let mut errors = Vec::new();
         let mut parse = |line| parse_line(1, line, &mut errors).map(|line| Rule::from(&line));
         let mut service_removed = false;
-        for rule in replaced.removed.iter().filter_map(|line| parse(line)) {
+        for rule in delta.removed.iter().filter_map(|line| parse(line)) {
             service_removed |= matches!(rule, Rule::Service(_));
             rules.remove(&rule);
         }
         let mut references = Vec::new();
-        for rule in replaced.added.iter().filter_map(|line| parse(line)) {
+        for rule in delta.added.iter().filter_map(|line| parse(line)) {
             references.extend(rule.referenced_service().cloned());
             if matches!(&rule, Rule::Service(service) if !floor_is_reachable(service)) {
                 return None;
@@ -181,18 +181,18 @@
         let known = |name: &ServiceName| rules.services.contains_key(name);
         let valid = errors.is_empty()
             && references.iter().all(known)
-            && (!service_removed || rules.references().all(known));
+            && (!service_removed || rules.referenced_services().all(known));
         valid.then_some(rules)
     }
 
-    /// Every service that a `route` or `team` line names.
-    pub(crate) fn references(&self) -> impl Iterator<Item = &ServiceName> {
+    /// The services that `route` and `team` lines name.
+    pub(crate) fn referenced_services(&self) -> impl Iterator<Item = &ServiceName> {
         let routes = self.routes().map(|route| &route.service);
         let teams = self.teams().filter_map(Team::service);
         routes.chain(teams)
     }
 
-    /// Adds a rule; returns `false` when there is one with the same key.
+    /// Adds a rule; returns `false` if there was one with the same key.
     fn add(&mut self, rule: Rule) -> bool {
         match rule {
             Rule::Service(service) => {
@@ -200,7 +200,7 @@
                 self.services.insert(name, service).is_none()
             }
             Rule::Route(mut route) => {
-                // Shares one allocation of the name among the routes of a service.
+                // All routes of a service share one allocation of its name.
                 if let Some((shared, _)) = self.services.get_key_value(&route.service) {
                     route.service = shared.clone();
                 }
--- a/crates/auburnbridge_rules/src/value.rs
+++ b/crates/auburnbridge_rules/src/value.rs
@@ -1,4 +1,4 @@
-//! Kinds of values, how they are written and how they are read.
+//! Kinds of values, with their parsing and formatting.
 
 use std::fmt::{self, Write};
 
@@ -16,13 +16,13 @@
     ("MiB", 1 << 20),
     ("GiB", 1 << 30),
 ];
-const DIAL_WORDS: &[(&str, EjectionSensitivity)] = &[
+const SENSITIVITY_LEVELS: &[(&str, EjectionSensitivity)] = &[
     ("careful", EjectionSensitivity::CAREFUL),
     ("balanced", EjectionSensitivity::BALANCED),
     ("fast", EjectionSensitivity::FAST),
 ];
 
-/// A kind of value with its bounds, which include both ends.
+/// A kind of value with its inclusive bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueKind {
     /// Name of a service, an account or a team.
@@ -35,25 +35,26 @@
     Path,
     /// Class of a route.
     Class,
-    /// Position of the ejection sensitivity.
+    /// Ejection sensitivity, as a level or a number.
     Sensitivity,
-    /// Plain number.
+    /// Number without a unit.
     Count(u64, u64),
-    /// Share with its `%`.
+    /// Percentage, written with `%`.
     Percent(u64, u64),
-    /// Rate with its `/s`.
+    /// Rate, written with `/s`.
     Rate(u64, u64),
-    /// Duration with its unit, kept in milliseconds.
+    /// Duration with its unit; the bounds are in milliseconds.
     Duration(u64, u64),
-    /// Size with its unit, kept in bytes.
+    /// Size with its unit; the bounds are in bytes.
     Size(u64, u64),
 }
 
 impl ValueKind {
-    /// Checks a word and returns its number, or zero for a word that isn't a number.
+    /// Parses a word into its number: milliseconds for a duration, bytes for a size, 0 for a kind
+    /// that has no number.
     ///
-    /// The error says what was expected.
-    pub(crate) fn read(self, word: &str) -> Result<u64, String> {
+    /// The error describes the expected value.
+    pub(crate) fn parse(self, word: &str) -> Result<u64, String> {
         let number = match self {
             Self::Name => is_name(word).then_some(0),
             Self::NameOrAll => (word == "*" || is_name(word)).then_some(0),
@@ -63,24 +64,26 @@
                 Ok(()) => Some(0),
                 Err(invalid) => return Err(format!("{self} ({})", invalid.0)),
             },
-            Self::Sensitivity => read_dial(word),
-            Self::Count(min, max) => digits(word).filter(within(min, max)),
-            Self::Percent(min, max) => read_unit(word, &[("%", 1)]).filter(within(min, max)),
-            Self::Rate(min, max) => read_unit(word, &[("/s", 1)]).filter(within(min, max)),
-            Self::Duration(min, max) => read_unit(word, DURATION_UNITS).filter(within(min, max)),
-            Self::Size(min, max) => read_unit(word, SIZE_UNITS).filter(within(min, max)),
+            Self::Sensitivity => parse_sensitivity(word),
+            Self::Count(min, max) => parse_digits(word).filter(within(min, max)),
+            Self::Percent(min, max) => parse_with_unit(word, &[("%", 1)]).filter(within(min, max)),
+            Self::Rate(min, max) => parse_with_unit(word, &[("/s", 1)]).filter(within(min, max)),
+            Self::Duration(min, max) => {
+                parse_with_unit(word, DURATION_UNITS).filter(within(min, max))
+            }
+            Self::Size(min, max) => parse_with_unit(word, SIZE_UNITS).filter(within(min, max)),
         };
         number.ok_or_else(|| self.expectation(word))
     }
 
-    /// Spelling of a number of this kind.
-    pub fn write(self, number: u64) -> String {
+    /// Formats a number of this kind with its unit.
+    pub fn format(self, number: u64) -> String {
         match self {
             Self::Percent(..) => format!("{number}%"),
             Self::Rate(..) => format!("{number}/s"),
-            Self::Duration(..) => write_unit(number, DURATION_UNITS),
-            Self::Size(..) => write_unit(number, SIZE_UNITS),
-            Self::Sensitivity => DIAL_WORDS
+            Self::Duration(..) => format_with_unit(number, DURATION_UNITS),
+            Self::Size(..) => format_with_unit(number, SIZE_UNITS),
+            Self::Sensitivity => SENSITIVITY_LEVELS
                 .iter()
                 .find(|(_, sensitivity)| u64::from(sensitivity.0) == number)
                 .map_or_else(|| number.to_string(), |(word, _)| (*word).to_owned()),
@@ -89,17 +92,17 @@
         }
     }
 
-    fn words(self) -> Vec<&'static str> {
+    fn choices(self) -> Vec<&'static str> {
         match self {
             Self::Method => Method::iter().map(Into::into).collect(),
             Self::Class => Class::iter().map(Into::into).collect(),
-            Self::Sensitivity => DIAL_WORDS.iter().map(|(word, _)| *word).collect(),
+            Self::Sensitivity => SENSITIVITY_LEVELS.iter().map(|(word, _)| *word).collect(),
             _ => Vec::new(),
         }
     }
 
     fn expectation(self, word: &str) -> String {
-        match nearest(word, self.words()) {
+        match nearest(word, self.choices()) {
             Some(known) => format!("`{known}` ({self})"),
             None => self.to_string(),
         }
@@ -108,16 +111,16 @@
 
 impl fmt::Display for ValueKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let range = |min, max| format!("from {} to {}", self.write(min), self.write(max));
+        let range = |min, max| format!("from {} to {}", self.format(min), self.format(max));
         match *self {
             Self::Name => f.write_str("a name of 1 to 64 characters from `a-z A-Z 0-9 . _ : -`"),
             Self::NameOrAll => f.write_str("a name, or `*` for everything"),
-            Self::Method | Self::Class => write_choice(f, &self.words()),
+            Self::Method | Self::Class => write_alternatives(f, &self.choices()),
             Self::Path => {
                 f.write_str("a path such as `/bins/7`, or `/bins/*` for all below `/bins/`")
             }
             Self::Sensitivity => {
-                write_choice(f, &self.words())?;
+                write_alternatives(f, &self.choices())?;
                 f.write_str(", or a number from 0 (careful) to 100 (fast)")
             }
             Self::Count(min, max) => write!(f, "a number {}", range(min, max)),
@@ -141,7 +144,7 @@
     }
 }
 
-fn write_choice(f: &mut fmt::Formatter<'_>, words: &[&str]) -> fmt::Result {
+fn write_alternatives(f: &mut fmt::Formatter<'_>, words: &[&str]) -> fmt::Result {
     for (position, word) in words.iter().enumerate() {
         let separator = match position {
             0 => "",
@@ -161,8 +164,8 @@
     move |number| (min..=max).contains(number)
 }
 
-/// Reads digits alone: `str::parse` would also accept a leading `+`.
-fn digits(word: &str) -> Option<u64> {
+/// Parses decimal digits only; `str::parse` would also accept a leading `+`.
+fn parse_digits(word: &str) -> Option<u64> {
     if word.bytes().all(|byte| byte.is_ascii_digit()) {
         word.parse().ok()
     } else {
@@ -170,23 +173,25 @@
     }
 }
 
-fn read_dial(word: &str) -> Option<u64> {
-    DIAL_WORDS
+fn parse_sensitivity(word: &str) -> Option<u64> {
+    SENSITIVITY_LEVELS
         .iter()
         .find(|(known, _)| *known == word)
         .map(|(_, sensitivity)| u64::from(sensitivity.0))
-        .or_else(|| digits(word).filter(|number| *number <= u64::from(EjectionSensitivity::FAST.0)))
+        .or_else(|| {
+            parse_digits(word).filter(|number| *number <= u64::from(EjectionSensitivity::FAST.0))
+        })
 }
 
-fn read_unit(word: &str, units: &[(&str, u64)]) -> Option<u64> {
+fn parse_with_unit(word: &str, units: &[(&str, u64)]) -> Option<u64> {
     let unit_at = word.find(|character: char| !character.is_ascii_digit())?;
     let (number, unit) = word.split_at(unit_at);
     let (_, factor) = units.iter().find(|(known, _)| *known == unit)?;
-    digits(number)?.checked_mul(*factor)
+    parse_digits(number)?.checked_mul(*factor)
 }
 
-/// Writes a number in the largest unit that divides it.
-fn write_unit(number: u64, units: &[(&str, u64)]) -> String {
+/// Formats a number in the largest unit that divides it.
+fn format_with_unit(number: u64, units: &[(&str, u64)]) -> String {
     let (unit, factor) = units
         .iter()
         .rev()
--- a/crates/auburnbridge_rules/tests/edits.rs
+++ b/crates/auburnbridge_rules/tests/edits.rs
@@ -1,4 +1,4 @@
-//! Guards edits of single lines and differences between files.
+//! Tests of line edits, differences between files and line keys.
 
 use auburnbridge_rules::{LineEdit, LineKey, Method, Rules, TextDigest, difference, rule_lines};
 use proptest::prelude::*;
@@ -21,33 +21,36 @@
     "",
 ];
 
-/// An edit whose line is drawn before the length of the file is known.
+/// A generated edit; its line number is reduced to the length of the file later.
 #[derive(Clone, Debug)]
-enum DrawnEdit {
+enum GeneratedEdit {
     Replace(u32, &'static str),
     Insert(u32, &'static str),
     Remove(u32),
 }
 
-impl DrawnEdit {
-    /// The edit of a file with `count` lines; an empty file can only grow.
-    fn within(self, count: &mut u32) -> LineEdit {
+impl GeneratedEdit {
+    /// Converts to an edit of a file with `line_count` lines and updates the count. In an empty file, a
+    /// replacement or removal becomes the insertion of an empty line.
+    fn into_line_edit(self, line_count: &mut u32) -> LineEdit {
         match self {
-            Self::Replace(line, text) if *count > 0 => LineEdit::Replace {
-                line: line % *count + 1,
+            Self::Replace(line, text) if *line_count > 0 => LineEdit::Replace {
+                line: line % *line_count + 1,
                 text: text.to_owned(),
             },
-            Self::Remove(line) if *count > 0 => {
-                *count -= 1;
+            Self::Remove(line) if *line_count > 0 => {
+                *line_count -= 1;
                 LineEdit::Remove {
-                    line: line % (*count + 1) + 1,
+                    line: line % (*line_count + 1) + 1,
                 }
             }
-            Self::Replace(line, _) | Self::Remove(line) => Self::Insert(line, "").within(count),
+            Self::Replace(line, _) | Self::Remove(line) => {
+                Self::Insert(line, "").into_line_edit(line_count)
+            }
             Self::Insert(line, text) => {
-                *count += 1;
+                *line_count += 1;
                 LineEdit::Insert {
-                    line: line % *count + 1,
+                    line: line % *line_count + 1,
                     text: text.to_owned(),
                 }
             }
@@ -55,17 +58,17 @@
     }
 }
 
-fn drawn_edit() -> impl Strategy<Value = DrawnEdit> {
+fn generated_edit() -> impl Strategy<Value = GeneratedEdit> {
     let text = || prop::sample::select(LINES);
     prop_oneof![
-        (0..100u32, text()).prop_map(|(line, text)| DrawnEdit::Replace(line, text)),
-        (0..100u32, text()).prop_map(|(line, text)| DrawnEdit::Insert(line, text)),
-        (0..100u32).prop_map(DrawnEdit::Remove),
+        (0..100u32, text()).prop_map(|(line, text)| GeneratedEdit::Replace(line, text)),
+        (0..100u32, text()).prop_map(|(line, text)| GeneratedEdit::Insert(line, text)),
+        (0..100u32).prop_map(GeneratedEdit::Remove),
     ]
 }
 
-/// Everything that the rules answer, apart from their text.
-fn meaning(rules: &Rules) -> impl PartialEq + std::fmt::Debug {
+/// Results of the public lookups, to compare rules apart from their text.
+fn lookup_results(rules: &Rules) -> impl PartialEq + std::fmt::Debug {
     let mut services: Vec<String> = rules.services().map(|s| format!("{s:?}")).collect();
     let mut routes: Vec<String> = rules.routes().map(|r| format!("{r:?}")).collect();
     let mut teams: Vec<String> = rules.teams().map(|t| format!("{t:?}")).collect();
@@ -86,39 +89,40 @@
 
 proptest! {
     #![proptest_config(ProptestConfig {
-        // A fixed seed gives the same verdict in every run.
+        // A fixed seed makes the result reproducible.
         rng_seed: RngSeed::Fixed(1),
         ..ProptestConfig::default()
     })]
 
-    /// Guards against an edited copy that differs from a parse of the same text, by which an entry
-    /// that follows edits would answer otherwise than one that was restarted.
+    /// Guards against edited rules that differ from a parse of the edited text. An entry that applies
+    /// edits would then route differently from an entry that was restarted.
     #[test]
     fn edited_rules_equal_parsed_rules(batches in prop::collection::vec(
-        prop::collection::vec(drawn_edit(), 1..4), 1..60,
+        prop::collection::vec(generated_edit(), 1..4), 1..60,
     )) {
         let mut rules = Rules::default();
         for batch in batches {
-            let mut count = u32::try_from(rules.text().lines().count()).unwrap();
+            let mut line_count = u32::try_from(rules.text().lines().count()).unwrap();
             let edits: Vec<LineEdit> =
-                batch.into_iter().map(|edit| edit.within(&mut count)).collect();
+                batch.into_iter().map(|edit| edit.into_line_edit(&mut line_count)).collect();
             let Ok(edited) = rules.edited(&edits) else { continue };
             let parsed = Rules::parse(edited.text()).expect("an accepted edit leaves a valid file");
             prop_assert_eq!(&edited, &parsed);
             prop_assert_eq!(edited.digest(), TextDigest::of(edited.text()));
-            prop_assert_eq!(meaning(&edited), meaning(&parsed));
+            prop_assert_eq!(lookup_results(&edited), lookup_results(&parsed));
             rules = edited;
         }
     }
 
-    /// Guards against a panic on any text, which would stop a process at a bad file.
+    /// Guards against a panic on an invalid file, which would stop the process.
     #[test]
     fn parse_never_panics(text in "(service|route|team|keys|#|[ -~\n\r\té]{0,9}| ){0,40}") {
         let _ = Rules::parse(&text);
     }
 }
 
-/// Guards against an edit that is refused without its line, or that smuggles in a second line.
+/// Guards against errors of edits without the line number, and against an edit whose text adds a
+/// second line.
 #[test]
 fn invalid_edits_are_refused() {
     let rules = Rules::parse(LINES[0]).unwrap();
@@ -139,7 +143,7 @@
     );
 }
 
-/// Guards against a check that reports moved or respaced lines, or misses a changed one.
+/// Guards against a difference that lists moved or respaced lines, or misses a changed line.
 #[test]
 fn difference_lists_changed_rules() {
     let old = Rules::parse(&[LINES[0], LINES[3], LINES[5], LINES[9]].join("\n")).unwrap();
@@ -162,7 +166,7 @@
     insta::assert_snapshot!(format!("{}\n\n{}", changes.join("\n"), removed.join("\n")));
 }
 
-/// Guards against a key that names no line or another line.
+/// Guards against a key that finds no line or a wrong line.
 #[test]
 fn keys_find_their_lines() {
     let text = [LINES[12], LINES[0], LINES[4], LINES[9], LINES[10]].join("\n");
--- a/crates/auburnbridge_rules/tests/errors.rs
+++ b/crates/auburnbridge_rules/tests/errors.rs
@@ -1,4 +1,4 @@
-//! Guards the errors that operators read: each names the line, the text and the fix.
+//! Tests of error messages: each names the line, the offending text and the fix.
 
 use auburnbridge_rules::{MAX_LINE_BYTES, Rules};
 
@@ -8,7 +8,7 @@
     lines.join("\n")
 }
 
-/// Guards against an accepted mistake, a missing error and an error that gives no help.
+/// Guards against mistakes that are accepted, errors that are not reported and errors without a fix.
 #[test]
 fn every_error_is_reported_with_its_fix() {
     insta::assert_snapshot!(errors_of(
@@ -41,7 +41,7 @@
     ));
 }
 
-/// Guards against unbounded lines, which would grow messages and log lines.
+/// Guards against lines of unlimited length, which would inflate messages and log lines.
 #[test]
 fn long_lines_are_refused() {
     let text = format!(
--- a/crates/auburnbridge_rules/tests/reference.rs
+++ b/crates/auburnbridge_rules/tests/reference.rs
@@ -1,10 +1,10 @@
-//! Guards the page `docs/rules.md`.
+//! Tests of the page `docs/rules.md`.
 
 use auburnbridge_rules::{Rules, grammar};
 
 const PAGE: &str = include_str!("../../../docs/rules.md");
 
-/// Guards against a page that lags behind the declarations.
+/// Guards against a reference that no longer matches the declarations.
 #[test]
 fn reference_in_docs_is_current() {
     assert!(
@@ -13,22 +13,26 @@
     );
 }
 
-/// Guards against an example that operators copy and that is then refused.
+/// Guards against documented examples that are refused when an operator copies them.
 #[test]
 fn examples_are_valid() {
     let examples: Vec<&str> = grammar::LINES.iter().map(|line| line.example).collect();
     Rules::parse(&examples.join("\n")).unwrap();
-    let at_the_top = PAGE.lines().skip(5).take(3);
-    let at_the_top: Vec<&str> = at_the_top.map(str::trim).collect();
+    let introduction = PAGE.lines().skip(5).take(3);
+    let introduction: Vec<&str> = introduction.map(str::trim).collect();
     assert_eq!(
-        Rules::parse(&at_the_top.join("\n")).unwrap().routes().len(),
+        Rules::parse(&introduction.join("\n"))
+            .unwrap()
+            .routes()
+            .len(),
         2
     );
 }
 
-/// Guards against a default that its own option would refuse.
+/// Guards against a default outside its option's bounds, and against an omitted option that differs
+/// from its written default.
 #[test]
-fn defaults_lie_within_bounds() {
+fn defaults_are_within_bounds() {
     let options: Vec<String> = grammar::LINES
         .iter()
         .flat_map(|line| line.options.iter())
@@ -36,7 +40,7 @@
             Some(format!(
                 "{} {}",
                 option.name,
-                option.kind.write(option.default?)
+                option.kind.format(option.default?)
             ))
         })
         .collect();
--- a/crates/auburnbridge_rules/tests/rules.rs
+++ b/crates/auburnbridge_rules/tests/rules.rs
@@ -1,9 +1,9 @@
-//! Guards the acceptance of rules files and the choice of a route.
+//! Tests of parsing and route lookup.
 
 use auburnbridge_rules::{Class, Method, Rules};
 use auburnbridge_types::{ByteSize, Millis, Slots};
 
-const SMALL: &str = "\
+const VALID_FILE: &str = "\
 # Stock
 service stock slots-floor 24 most-targets 25 ejection careful # asked by Meera, ward office
 
@@ -16,10 +16,10 @@
 team warehouse may change stock # asked by Jonas
 ";
 
-/// Guards against a valid file that is refused or read wrongly.
+/// Guards against a valid file that is refused or parsed incorrectly.
 #[test]
-fn small_file_is_read() {
-    let rules = Rules::parse(SMALL).unwrap();
+fn valid_file_is_parsed() {
+    let rules = Rules::parse(VALID_FILE).unwrap();
     let stock = rules.service(&"stock".parse().unwrap()).unwrap();
     assert_eq!(stock.slots_floor, Slots(24));
     assert_eq!(stock.slots_per_target, Slots(3));
@@ -31,10 +31,11 @@
     assert_eq!(route.class, Class::Once);
 }
 
-/// Guards against a request that reaches another route than the longest match.
+/// Guards against a lookup that returns another route than the longest match, or a route for a path
+/// that can't be normalized.
 #[test]
 fn longest_match_wins() {
-    let rules = Rules::parse(SMALL).unwrap();
+    let rules = Rules::parse(VALID_FILE).unwrap();
     for (path, line) in [
         ("/bins/7", Some("/bins/*")),
         ("/bins/", Some("/bins/*")),
