--- a/crates/auburnbridge_rules/examples/rules_cost.rs
+++ b/crates/auburnbridge_rules/examples/rules_cost.rs
@@ -65,7 +65,8 @@
     retained
 }
 
-/// Generates one service line per [`ROUTES_PER_SERVICE`] routes; a third of the routes are wildcards.
+/// Generates one service line per [`ROUTES_PER_SERVICE`] routes; a third of the routes are
+/// wildcards.
 fn rules_text(lines: usize) -> String {
     let mut text = String::new();
     for number in 0..lines {
--- a/crates/auburnbridge_rules/src/grammar.rs
+++ b/crates/auburnbridge_rules/src/grammar.rs
@@ -14,7 +14,8 @@
 pub const DEFAULT_EJECTION: EjectionSensitivity = EjectionSensitivity::BALANCED;
 /// Default of `retry-percent`, as a share of the service's requests.
 pub const DEFAULT_RETRY_PERCENT: Percent = Percent(10);
-/// Default of `retry-rate`, on top of the share; above zero so that services with few requests can retry at all.
+/// Default of `retry-rate`, on top of the share; above zero so that services with few requests can
+/// retry at all.
 pub const DEFAULT_RETRY_RATE: RatePerSecond = RatePerSecond(3);
 /// Default of `queue`, in waiting requests per entry.
 pub const DEFAULT_QUEUE: u32 = 256;
--- a/crates/auburnbridge_rules/tests/edits.rs
+++ b/crates/auburnbridge_rules/tests/edits.rs
@@ -30,8 +30,8 @@
 }
 
 impl GeneratedEdit {
-    /// Converts to an edit of a file with `line_count` lines and updates the count. In an empty file, a
-    /// replacement or removal becomes the insertion of an empty line.
+    /// Converts to an edit of a file with `line_count` lines and updates the count. In an empty file,
+    /// a replacement or removal becomes the insertion of an empty line.
     fn into_line_edit(self, line_count: &mut u32) -> LineEdit {
         match self {
             Self::Replace(line, text) if *line_count > 0 => LineEdit::Replace {
@@ -94,8 +94,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against edited rules that differ from a parse of the edited text. An entry that applies
-    /// edits would then route differently from an entry that was restarted.
+    /// Guards against edited rules that differ from a parse of the edited text. An entry that
+    /// applies edits would then route differently from an entry that was restarted.
     #[test]
     fn edited_rules_equal_parsed_rules(batches in prop::collection::vec(
         prop::collection::vec(generated_edit(), 1..4), 1..60,
--- a/crates/auburnbridge_rules/tests/errors.rs
+++ b/crates/auburnbridge_rules/tests/errors.rs
@@ -8,7 +8,8 @@
     lines.join("\n")
 }
 
-/// Guards against mistakes that are accepted, errors that are not reported and errors without a fix.
+/// Guards against mistakes that are accepted, errors that are not reported and errors without a
+/// fix.
 #[test]
 fn every_error_is_reported_with_its_fix() {
     insta::assert_snapshot!(errors_of(
