--- a/crates/auburnbridge_settings/examples/reference.rs
+++ b/crates/auburnbridge_settings/examples/reference.rs
@@ -1,4 +1,4 @@
-//! Prints the reference of the settings, which `docs/settings.md` holds.
+//! Prints the settings reference, the content of `docs/settings.md`.
 
 fn main() {
     print!("{}", auburnbridge_settings::reference());
--- a/crates/auburnbridge_settings/src/declare.rs
+++ b/crates/auburnbridge_settings/src/declare.rs
@@ -1,52 +1,52 @@
-//! Declaration of options, and the loading that derives from it.
+//! Declaration of options, and loading based on the declarations.
 
 use std::fs;
 use std::path::Path;
 
-use crate::check::Checks;
 use crate::document::Document;
 use crate::error::SettingsError;
+use crate::validator::Validator;
 
 /// Whether an option must be in the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It must.
+    /// The option must be present.
     Required,
-    /// It may be absent, which turns the function off.
+    /// The option may be absent, which disables its feature.
     Optional,
-    /// It may be absent, and then has this value.
+    /// The option may be absent and then has this value.
     Default(&'static str),
 }
 
-/// Accepted values, both ends included.
+/// Inclusive range of accepted values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Range {
     /// Smallest value.
-    pub first: &'static str,
+    pub min: &'static str,
     /// Largest value.
-    pub last: &'static str,
+    pub max: &'static str,
 }
 
 impl std::fmt::Display for Range {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} to {}", self.first, self.last)
+        write!(f, "{} to {}", self.min, self.max)
     }
 }
 
-/// Everything about one option.
+/// Declaration of one option.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Declaration {
-    /// Name in the file.
+    /// Name of the option in the file.
     pub name: &'static str,
-    /// What an operator writes.
+    /// Kind of the value, as shown to operators.
     pub kind: &'static str,
-    /// A value as it stands in a file.
+    /// Example value in JSON.
     pub example: &'static str,
-    /// Whether it must be there.
+    /// Whether the option is required.
     pub presence: Presence,
-    /// Accepted values, when they are bounded.
+    /// Accepted values, if they are bounded.
     pub range: Option<Range>,
-    /// What the range counts, such as " items".
+    /// Unit of the range, such as " items"; empty if the range bounds the value itself.
     pub range_unit: &'static str,
     /// Lines of the description.
     pub description: &'static [&'static str],
@@ -56,19 +56,19 @@
 pub trait Settings: Sized {
     /// Name of the role.
     const ROLE: &'static str;
-    /// All options, in the order of the reference.
+    /// Declarations of all options, in the order of the reference.
     const OPTIONS: &'static [Declaration];
 
-    /// Reads all options; `None` means that a problem was recorded.
-    fn read(checks: &mut Checks<'_>) -> Option<Self>;
+    /// Reads all options; returns `None` if a problem was recorded.
+    fn read(validator: &mut Validator<'_>) -> Option<Self>;
 
-    /// Records problems that concern several options.
-    fn check(&self, checks: &mut Checks<'_>);
+    /// Records problems that involve several options.
+    fn check(&self, validator: &mut Validator<'_>);
 
-    /// Makes relative paths relative to `folder`.
+    /// Resolves relative paths against `folder`.
     fn resolve_paths(&mut self, folder: &Path);
 
-    /// Reads a file. Relative paths in it are relative to the folder of the file.
+    /// Loads a file and resolves its relative paths against the folder of the file.
     fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = fs::read_to_string(path)
             .map_err(|error| SettingsError::Read(path.to_owned(), error))?;
@@ -79,33 +79,33 @@
         Ok(settings)
     }
 
-    /// Reads the content of a file, whose path appears in errors only.
+    /// Parses the content of a file; `path` is used in errors only.
     fn parse(path: &Path, text: &str) -> Result<Self, SettingsError> {
         let invalid = |problems| SettingsError::Invalid(path.to_owned(), problems);
         let document = Document::parse(text).map_err(|problem| invalid(vec![problem]))?;
-        let mut checks = Checks::new(document, Self::OPTIONS);
-        let settings = Self::read(&mut checks);
+        let mut validator = Validator::new(document, Self::OPTIONS);
+        let settings = Self::read(&mut validator);
         if let Some(settings) = &settings {
-            settings.check(&mut checks);
+            settings.check(&mut validator);
         }
         match settings {
-            Some(settings) if checks.is_clean() => Ok(settings),
-            _ => Err(invalid(checks.into_problems())),
+            Some(settings) if validator.is_clean() => Ok(settings),
+            _ => Err(invalid(validator.into_problems())),
         }
     }
 }
 
 /// Declares the settings of a role: a struct with one field per option.
 ///
-/// After the type stands `[required]`, `[optional]` or `[default "VALUE"]`, then a range such as
-/// `["1ms" to "10min"]` where the values are bounded.
+/// The type is followed by `[required]`, `[optional]` or `[default "VALUE"]` and, for bounded
+/// values, by a range such as `["1ms" to "10min"]`.
 macro_rules! settings {
     (
         $(#[doc = $struct_doc:literal])*
         $name:ident, $role:literal {
             $(
                 $(#[doc = $doc:literal])*
-                $field:ident: $type:ty [$($presence:tt)+] $([$first:literal to $last:literal])?,
+                $field:ident: $type:ty [$($presence:tt)+] $([$min:literal to $max:literal])?,
             )+
         }
     ) => {
@@ -126,7 +126,7 @@
                         kind: <$type as $crate::Value>::KIND,
                         example: <$type as $crate::Value>::EXAMPLE,
                         presence: $crate::declare::presence!($($presence)+),
-                        range: $crate::declare::range!($($first, $last)?),
+                        range: $crate::declare::range!($($min, $max)?),
                         range_unit: <$type as $crate::Value>::RANGE_UNIT,
                         description: &[$($doc),*],
                     },
@@ -134,12 +134,12 @@
             ];
 
             /// Reads the options in the order of their declarations.
-            fn read_options(checks: &mut $crate::Checks<'_>) -> Option<Self> {
+            fn read_options(validator: &mut $crate::Validator<'_>) -> Option<Self> {
                 let mut declarations = Self::DECLARATIONS.iter();
-                // All options are read before the first missing one ends the function, so that
-                // every problem is recorded.
+                // Reads all options before returning at the first invalid one, so that every
+                // problem is recorded.
                 $(
-                    let $field = checks.read::<$type>(declarations.next()?);
+                    let $field = validator.read::<$type>(declarations.next()?);
                 )+
                 Some(Self { $($field: $field?),+ })
             }
@@ -163,10 +163,10 @@
     () => {
         None
     };
-    ($first:literal, $last:literal) => {
+    ($min:literal, $max:literal) => {
         Some($crate::Range {
-            first: $first,
-            last: $last,
+            min: $min,
+            max: $max,
         })
     };
 }
--- a/crates/auburnbridge_settings/src/document.rs
+++ b/crates/auburnbridge_settings/src/document.rs
@@ -1,4 +1,4 @@
-//! The options in a settings file, with their positions.
+//! Splitting of a settings file into options with their line numbers.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 
 use crate::error::Problem;
 
-/// One option as the file has it.
+/// The unparsed value of an option.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RawOption<'a> {
     pub(crate) json: &'a str,
@@ -28,7 +28,7 @@
     pub(crate) fn parse(text: &'a str) -> Result<Self, Problem> {
         let raw: RawObject<'a> = serde_json::from_str(text).map_err(|error| {
             let line = error.line().max(1);
-            let shown = text.lines().nth(line - 1).unwrap_or_default();
+            let line_text = text.lines().nth(line - 1).unwrap_or_default();
             let message = error.to_string();
             let reason = message.split(" at line ").next().unwrap_or_default();
             let fix = match error.classify() {
@@ -37,7 +37,7 @@
                     format!("correct the JSON at or before column {}", error.column())
                 }
             };
-            Problem::new(line, shown, reason, fix)
+            Problem::new(line, line_text, reason, fix)
         })?;
         let options = raw
             .0
@@ -61,7 +61,7 @@
             .map(|(name, option)| (name.as_str(), *option))
     }
 
-    /// The first option of this name.
+    /// The first option with this name.
     pub(crate) fn get(&self, name: &str) -> Option<RawOption<'a>> {
         self.options()
             .find_map(|(found, option)| (found == name).then_some(option))
--- a/crates/auburnbridge_settings/src/error.rs
+++ b/crates/auburnbridge_settings/src/error.rs
@@ -2,15 +2,15 @@
 
 use std::path::PathBuf;
 
-/// Longest part of the offending text that an error shows.
-const SHOWN_CHARACTERS: usize = 60;
+/// Longest offending text that an error quotes.
+const MAX_QUOTED_CHARS: usize = 60;
 
 /// Reason why settings can't be loaded.
 #[derive(Debug)]
 pub enum SettingsError {
     /// The file can't be read.
     Read(PathBuf, std::io::Error),
-    /// The content is not valid; each problem is listed.
+    /// The content is not valid; every problem is listed.
     Invalid(PathBuf, Vec<Problem>),
 }
 
@@ -47,18 +47,18 @@
 /// One error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Line, from 1.
+    /// Line number, counted from 1.
     pub line: usize,
-    /// The offending text, shortened.
+    /// The offending text, truncated if it is long.
     pub text: String,
     /// What is wrong.
     pub reason: String,
-    /// What to write instead.
+    /// How to fix it.
     pub fix: String,
 }
 
 impl Problem {
-    /// Describes a problem with `text` at `line`.
+    /// Creates a problem about `text` on `line`.
     pub fn new(line: usize, text: &str, reason: impl Into<String>, fix: impl Into<String>) -> Self {
         Self {
             line,
@@ -81,10 +81,10 @@
     }
 }
 
-/// Joins the words of a text that may span lines, and cuts it.
+/// Collapses white space, including line breaks, and truncates the text.
 fn shorten(text: &str) -> String {
     let text = text.split_whitespace().collect::<Vec<_>>().join(" ");
-    match text.char_indices().nth(SHOWN_CHARACTERS) {
+    match text.char_indices().nth(MAX_QUOTED_CHARS) {
         Some((end, _)) => format!("{}…", &text[..end]),
         None => text,
     }
--- a/crates/auburnbridge_settings/src/gateway.rs
+++ b/crates/auburnbridge_settings/src/gateway.rs
@@ -5,8 +5,8 @@
 
 use auburnbridge_types::{ByteSize, DataCentre, Millis};
 
-use crate::check::Checks;
 use crate::declare::{Declaration, Settings, settings};
+use crate::validator::Validator;
 use crate::value::Share;
 
 settings! {
@@ -20,32 +20,35 @@
         caller_address: SocketAddr [required],
         /// TCP address for the platform's readiness checks.
         readiness_address: SocketAddr [required],
-        /// UDP port for datagrams of other gateways. They are neither authenticated nor encrypted.
+        /// UDP port for messages of other gateways, which are neither authenticated nor encrypted.
         peer_port: u32 [required] ["1" to "65535"],
-        /// TCP port at which keepers serve our other processes.
+        /// TCP port at which keepers serve the fleet's other processes.
         keeper_port: u32 [required] ["1" to "65535"],
         /// Control addresses of some keepers.
         seeds: Vec<SocketAddr> [required] ["1" to "16"],
-        /// Time for which the load balancer may still send connections after readiness has changed.
+        /// Time for which the load balancer may still open connections after a change of readiness.
         balancer_lag: Millis [default "2500ms"] ["0s" to "5min"],
-        /// Longest time for requests in progress after that, until the process ends.
+        /// Longest time after `balancer_lag` for requests in progress, until the process ends.
         shutdown_limit: Millis [default "3s"] ["100ms" to "10min"],
-        /// Memory for the bodies of all requests in progress and their answers.
+        /// Memory for the bodies of all requests in progress and of their responses.
         body_memory: ByteSize [default "128MiB"] ["1MiB" to "4GiB"],
-        /// Most connections to one target.
+        /// Largest number of connections to one target.
         connections_per_target: u32 [default "20"] ["1" to "350"],
-        /// Share of a service's targets that get work even if they are suspected.
+        /// Share of a service's targets that receive requests even if they are suspected to be
+        /// faulty.
         floor_share: Share [default "0.7"] ["0" to "1"],
-        /// Sends beyond the first one of each request, as a share of the requests of a window.
+        /// Attempts after the first one of each request, as a share of the requests in a window of
+        /// `resend_window`.
         resend_share: Share [default "0.1"] ["0" to "1"],
-        /// Such sends that are allowed on top in a window, over all gateways.
+        /// Further attempts allowed in a window on top of `resend_share`, for all gateways
+        /// together.
         resend_allowance: u32 [default "20"] ["0" to "1000000"],
-        /// Length of a window.
+        /// Length of the window of `resend_share` and `resend_allowance`.
         resend_window: Millis [default "10s"] ["1s" to "10min"],
-        /// TCP address of the metrics, at the path `/metrics`; without it, they are not served.
+        /// TCP address that serves metrics at the path `/metrics`; without it, they are not served.
         metrics_address: Option<SocketAddr> [optional],
-        /// Log lines below the level of warnings that are written in a second; more are dropped and
-        /// counted.
+        /// Largest number of log lines below the level of warnings that are written per second;
+        /// further lines are dropped and counted.
         log_lines_per_second: u64 [default "2000"] ["10" to "1000000"],
     }
 }
@@ -54,12 +57,12 @@
     const ROLE: &'static str = "gateway";
     const OPTIONS: &'static [Declaration] = Self::DECLARATIONS;
 
-    fn read(checks: &mut Checks<'_>) -> Option<Self> {
-        Self::read_options(checks)
+    fn read(validator: &mut Validator<'_>) -> Option<Self> {
+        Self::read_options(validator)
     }
 
-    fn check(&self, checks: &mut Checks<'_>) {
-        checks.refuse_shared_addresses(&[
+    fn check(&self, validator: &mut Validator<'_>) {
+        validator.check_distinct_addresses(&[
             ("caller_address", self.caller_address),
             ("readiness_address", self.readiness_address),
         ]);
--- a/crates/auburnbridge_settings/src/lib.rs
+++ b/crates/auburnbridge_settings/src/lib.rs
@@ -1,11 +1,10 @@
 //! Settings of each role: JSON files with one declaration per option.
 //!
-//! A declaration gives the type, default, range and description of an option; parsing, range checks,
-//! errors and the reference in `docs/settings.md` derive from it. Loading reads one file and nothing
-//! else: it opens no socket, creates no folder and resolves no name. All errors of a file are
-//! reported together, each with its line, the offending text and what to write instead.
+//! A declaration gives the type, default, range and description of an option; parsing, range
+//! checks, error messages and the reference in `docs/settings.md` are derived from it. Loading only
+//! reads the file: it opens no sockets, creates no folders and resolves no names. All errors of a
+//! file are reported together, each with its line, the offending text and a fix.
 
-mod check;
 mod control;
 mod declare;
 mod document;
@@ -15,9 +14,9 @@
 mod keeper;
 mod lists;
 mod reference;
+mod validator;
 mod value;
 
-pub use check::Checks;
 pub use control::ControlSettings;
 pub use declare::{Declaration, Presence, Range, Settings};
 pub use entry::EntrySettings;
@@ -26,4 +25,5 @@
 pub use keeper::KeeperSettings;
 pub use lists::{KeyDigest, OperatorKey, PeerLocation, ServiceScope};
 pub use reference::reference;
+pub use validator::Validator;
 pub use value::{Share, Value};
--- a/crates/auburnbridge_settings/src/lists.rs
+++ b/crates/auburnbridge_settings/src/lists.rs
@@ -1,4 +1,4 @@
-//! Options that hold lists of objects.
+//! Option values that are lists.
 
 use std::collections::HashSet;
 use std::hash::Hash;
@@ -13,29 +13,29 @@
 use crate::document::line_of;
 use crate::value::{Value, ValueError, is_between};
 
-/// Where another process of the fleet is found.
+/// Address of another process of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerLocation {
-    /// Its VM, as its certificate names it.
+    /// Name of its VM, as in its certificate.
     pub vm: VmId,
-    /// Its `peer_address`.
+    /// Its `peer_address` setting.
     pub address: SocketAddr,
 }
 
-/// A key that an operator presents to the administration API.
+/// A key with which an operator authenticates to the administration API.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorKey {
     /// Name under which the log records the operator's edits.
     pub name: String,
-    /// Digest of the key; the key itself is in no file of ours.
+    /// Digest of the key; the key itself is not stored.
     pub sha256: KeyDigest,
     /// Services whose rules the operator may change.
     pub services: ServiceScope,
 }
 
-/// SHA-256 digest, spelled as 64 hexadecimal digits.
+/// SHA-256 digest, written as 64 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct KeyDigest(pub [u8; 32]);
 
@@ -58,9 +58,9 @@
 /// Services that an operator may change: a list of names, or `["*"]` for all.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServiceScope {
-    /// All services, and the rules that belong to none.
+    /// All services, and the rules that belong to no service.
     All,
-    /// These services.
+    /// Only these services.
     Listed(Vec<ServiceName>),
 }
 
@@ -105,13 +105,13 @@
 
     fn from_json(json: &str) -> Result<Self, ValueError> {
         let items = items_from_json::<PeerLocation>(json, Self::KIND)?;
-        refuse_repeated(&items, "VM", |location| &location.vm)?;
-        refuse_repeated(&items, "address", |location| location.address)?;
-        Ok(values(items))
+        check_unique(&items, "VM", |location| &location.vm)?;
+        check_unique(&items, "address", |location| location.address)?;
+        Ok(into_values(items))
     }
 
-    fn is_within(&self, first: &str, last: &str) -> bool {
-        is_between(&self.len(), first, last, |text| text.parse().ok())
+    fn is_within(&self, min: &str, max: &str) -> bool {
+        is_between(&self.len(), min, max, |text| text.parse().ok())
     }
 }
 
@@ -126,12 +126,12 @@
 
     fn from_json(json: &str) -> Result<Self, ValueError> {
         let items = items_from_json::<SocketAddr>(json, Self::KIND)?;
-        refuse_repeated(&items, "address", |address| *address)?;
-        Ok(values(items))
+        check_unique(&items, "address", |address| *address)?;
+        Ok(into_values(items))
     }
 
-    fn is_within(&self, first: &str, last: &str) -> bool {
-        is_between(&self.len(), first, last, |text| text.parse().ok())
+    fn is_within(&self, min: &str, max: &str) -> bool {
+        is_between(&self.len(), min, max, |text| text.parse().ok())
     }
 }
 
@@ -147,36 +147,36 @@
 
     fn from_json(json: &str) -> Result<Self, ValueError> {
         let items = items_from_json::<OperatorKey>(json, Self::KIND)?;
-        refuse_repeated(&items, "name", |key| &key.name)?;
-        refuse_repeated(&items, "digest", |key| key.sha256)?;
-        Ok(values(items))
+        check_unique(&items, "name", |key| &key.name)?;
+        check_unique(&items, "digest", |key| key.sha256)?;
+        Ok(into_values(items))
     }
 
-    fn is_within(&self, first: &str, last: &str) -> bool {
-        is_between(&self.len(), first, last, |text| text.parse().ok())
+    fn is_within(&self, min: &str, max: &str) -> bool {
+        is_between(&self.len(), min, max, |text| text.parse().ok())
     }
 }
 
-/// One item of a list, with its position in the value.
+/// An item of a list, with its line within the value.
 struct Item<'a, T> {
     value: T,
     json: &'a str,
     line: usize,
 }
 
-/// Reads the items one by one, so that an error has the position of its item.
+/// Parses the items one by one, so that an error has the line of its item.
 fn items_from_json<'a, T: DeserializeOwned>(
     json: &'a str,
     kind: &str,
 ) -> Result<Vec<Item<'a, T>>, ValueError> {
     let items: Vec<&'a RawValue> =
-        serde_json::from_str(json).map_err(|_| ValueError::not_a(kind))?;
+        serde_json::from_str(json).map_err(|_| ValueError::expected(kind))?;
     items
         .into_iter()
         .map(|item| {
             let line = line_of(json, item.get());
             let value = serde_json::from_str(item.get()).map_err(|error| {
-                // The position at the end of the message is relative to the item.
+                // Drops the position at the end of the message, which is relative to the item.
                 let message = error.to_string();
                 let detail = message.split(" at line ").next().unwrap_or_default();
                 ValueError {
@@ -191,7 +191,7 @@
         .collect()
 }
 
-fn refuse_repeated<'a, T, K: Eq + Hash>(
+fn check_unique<'a, T, K: Eq + Hash>(
     items: &'a [Item<'_, T>],
     part: &str,
     key: impl Fn(&'a T) -> K,
@@ -207,6 +207,6 @@
     })
 }
 
-fn values<T>(items: Vec<Item<'_, T>>) -> Vec<T> {
+fn into_values<T>(items: Vec<Item<'_, T>>) -> Vec<T> {
     items.into_iter().map(|item| item.value).collect()
 }
--- a/crates/auburnbridge_settings/src/reference.rs
+++ b/crates/auburnbridge_settings/src/reference.rs
@@ -5,10 +5,10 @@
 use crate::declare::{Declaration, Presence, Settings};
 use crate::{ControlSettings, EntrySettings, GatewaySettings, KeeperSettings};
 
-const HEAD: &str = "\
+const INTRODUCTION: &str = "\
 # Settings
 
-Generated from the declarations in `crates/auburnbridge_settings`; do not edit. To write it anew, run
+Generated from the declarations in `crates/auburnbridge_settings`; do not edit. To regenerate it, run
 `cargo run -p auburnbridge_settings --example reference > docs/settings.md`.
 
 Each process reads one JSON file, named with `--settings`. Unknown options are errors. Relative paths
@@ -16,9 +16,9 @@
 file without starting anything.
 ";
 
-/// The text of `docs/settings.md`.
+/// Returns the text of `docs/settings.md`.
 pub fn reference() -> String {
-    let mut page = HEAD.to_owned();
+    let mut page = INTRODUCTION.to_owned();
     write_role::<EntrySettings>(&mut page, include_str!("../examples/entry.json"));
     write_role::<KeeperSettings>(&mut page, include_str!("../examples/keeper.json"));
     write_role::<GatewaySettings>(&mut page, include_str!("../examples/gateway.json"));
@@ -26,9 +26,9 @@
     page
 }
 
-fn write_role<S: Settings>(page: &mut String, sample: &str) {
+fn write_role<S: Settings>(page: &mut String, example: &str) {
     // Writing to a string doesn't fail.
-    let _ = write!(page, "\n## Role `{}`\n\n```json\n{sample}```\n", S::ROLE);
+    let _ = write!(page, "\n## Role `{}`\n\n```json\n{example}```\n", S::ROLE);
     for option in S::OPTIONS {
         write_option(page, option);
     }
--- a/crates/auburnbridge_settings/src/validator.rs
+++ b/crates/auburnbridge_settings/src/validator.rs
@@ -1,4 +1,4 @@
-//! Collection of the problems of one file.
+//! Reading of options with collection of all problems of a file.
 
 use std::net::SocketAddr;
 
@@ -10,14 +10,14 @@
 use crate::lists::PeerLocation;
 use crate::value::Value;
 
-/// Reads options and collects what is wrong with them.
-pub struct Checks<'a> {
+/// Reads the options of a file and collects their problems.
+pub struct Validator<'a> {
     document: Document<'a>,
     problems: Vec<Problem>,
 }
 
-impl<'a> Checks<'a> {
-    /// Starts with the names of the options, which must be declared and unique.
+impl<'a> Validator<'a> {
+    /// Creates a validator and records the options that are unknown or repeated.
     pub(crate) fn new(document: Document<'a>, declarations: &[Declaration]) -> Self {
         let mut problems = Vec::new();
         let mut seen = Vec::new();
@@ -27,7 +27,7 @@
                 problems.push(Problem::new(
                     option.line,
                     name,
-                    "the option stands twice",
+                    "the option is given twice",
                     fix,
                 ));
             } else if !declarations.iter().any(|known| known.name == name) {
@@ -40,11 +40,11 @@
         Self { document, problems }
     }
 
-    /// Reads one option; `None` means that a problem was recorded.
+    /// Reads one option; returns `None` if a problem was recorded.
     pub fn read<T: Value>(&mut self, declaration: &Declaration) -> Option<T> {
         let name = declaration.name;
         let Some(option) = self.document.get(name) else {
-            return self.read_absent(declaration);
+            return self.resolve_absent(declaration);
         };
         let value = match T::from_json(option.json) {
             Ok(value) => value,
@@ -59,7 +59,7 @@
             }
         };
         if let Some(range) = declaration.range
-            && !value.is_within(range.first, range.last)
+            && !value.is_within(range.min, range.max)
         {
             let reason = format!("`{name}` is out of range");
             let fix = format!("choose {}{}", range, T::RANGE_UNIT);
@@ -69,7 +69,7 @@
         Some(value)
     }
 
-    fn read_absent<T: Value>(&mut self, declaration: &Declaration) -> Option<T> {
+    fn resolve_absent<T: Value>(&mut self, declaration: &Declaration) -> Option<T> {
         match declaration.presence {
             Presence::Default(text) => {
                 Some(T::from_text(text).expect("declared defaults are valid"))
@@ -86,8 +86,9 @@
 
     /// Records a problem with the value of an option that was read.
     ///
-    /// An option that is not in the file is named at the last line, with its default in force.
-    pub fn refuse(&mut self, name: &str, reason: &str, fix: &str) {
+    /// For an option that is not in the file and has its default, the problem refers to the last
+    /// line.
+    pub fn report(&mut self, name: &str, reason: &str, fix: &str) {
         match self.document.get(name) {
             Some(option) => self.add(option.line, option.json, reason, fix),
             None => self.add(self.document.last_line, name, reason, fix),
@@ -103,31 +104,31 @@
         self.problems.is_empty()
     }
 
-    /// The problems in the order of their lines.
+    /// Returns the problems in the order of their lines.
     pub(crate) fn into_problems(mut self) -> Vec<Problem> {
         self.problems.sort_by_key(|problem| problem.line);
         self.problems
     }
 }
 
-impl Checks<'_> {
-    /// Refuses two listeners on one address.
-    pub(crate) fn refuse_shared_addresses(&mut self, listeners: &[(&str, SocketAddr)]) {
+impl Validator<'_> {
+    /// Reports listeners that share an address.
+    pub(crate) fn check_distinct_addresses(&mut self, listeners: &[(&str, SocketAddr)]) {
         for (number, (name, address)) in listeners.iter().enumerate() {
             let Some((other, _)) = listeners[..number].iter().find(|(_, used)| used == address)
             else {
                 continue;
             };
             let reason = format!("`{name}` is the same as `{other}`");
-            self.refuse(name, &reason, "give each its own port");
+            self.report(name, &reason, "give each its own port");
         }
     }
 
-    /// Refuses a list of other processes that holds this one.
-    pub(crate) fn refuse_own_name(&mut self, name: &str, own: &VmId, others: &[PeerLocation]) {
+    /// Reports a list of other processes that contains this VM.
+    pub(crate) fn check_excludes_self(&mut self, name: &str, own: &VmId, others: &[PeerLocation]) {
         if others.iter().any(|other| other.vm == *own) {
-            let reason = format!("`{name}` holds this VM itself, `{own}`");
-            self.refuse(name, &reason, "list other VMs only");
+            let reason = format!("`{name}` contains this VM itself, `{own}`");
+            self.report(name, &reason, "list other VMs only");
         }
     }
 }
--- a/crates/auburnbridge_settings/src/value.rs
+++ b/crates/auburnbridge_settings/src/value.rs
@@ -1,54 +1,54 @@
-//! Types of options and their spelling.
+//! Types of option values and their parsing.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 
 use auburnbridge_types::{ByteSize, DataCentre, Millis, VmId};
 
-/// Reason why the text of a value was refused.
+/// Error of a value that can't be parsed.
 pub struct ValueError {
-    /// Line within the value, from 1.
+    /// Line within the value, counted from 1.
     pub line: usize,
-    /// The offending part; otherwise the line itself is shown.
+    /// The offending text; `None` quotes the whole line.
     pub text: Option<String>,
     /// What is wrong.
     pub reason: String,
 }
 
-/// Type of an option.
+/// Type of an option's value.
 pub trait Value: Sized {
-    /// What an operator writes, such as "a duration".
+    /// Kind of the value, as shown to operators, such as "a duration".
     const KIND: &'static str;
-    /// A value as it stands in a file.
+    /// Example value in JSON.
     const EXAMPLE: &'static str;
-    /// What a range counts, such as " items"; empty when it bounds the value itself.
+    /// Unit of a range, such as " items"; empty if the range bounds the value itself.
     const RANGE_UNIT: &'static str = "";
 
-    /// Reads the spelling that declarations use: without quotes.
+    /// Parses the form used in declarations, without JSON quotes.
     fn from_text(text: &str) -> Option<Self>;
 
-    /// Reads the JSON text of a value.
+    /// Parses the JSON text of a value.
     fn from_json(json: &str) -> Result<Self, ValueError> {
         serde_json::from_str::<String>(json)
             .ok()
             .and_then(|text| Self::from_text(&text))
-            .ok_or_else(|| ValueError::not_a(Self::KIND))
+            .ok_or_else(|| ValueError::expected(Self::KIND))
     }
 
-    /// Whether the value lies in a range; types without an order have none.
-    fn is_within(&self, _first: &str, _last: &str) -> bool {
+    /// Whether the value is within a range; always true for types without ranges.
+    fn is_within(&self, _min: &str, _max: &str) -> bool {
         true
     }
 
-    /// The value of an absent option, for types that allow absence.
+    /// The value of an absent option; `None` for types that must be present.
     fn absent() -> Option<Self> {
         None
     }
 }
 
 impl ValueError {
-    /// Describes a text that is not a `kind`.
-    pub fn not_a(kind: &str) -> Self {
+    /// Creates an error that says `kind` was expected.
+    pub fn expected(kind: &str) -> Self {
         Self {
             line: 1,
             text: None,
@@ -57,18 +57,18 @@
     }
 }
 
-/// Whether `value` lies between two bounds, which a test of the declarations has parsed.
+/// Whether `value` is within inclusive bounds. A test checks that declared bounds parse.
 pub(crate) fn is_between<T: PartialOrd>(
     value: &T,
-    first: &str,
-    last: &str,
+    min: &str,
+    max: &str,
     parse: impl Fn(&str) -> Option<T>,
 ) -> bool {
     let bound = |text| parse(text).expect("declared bounds are valid");
-    *value >= bound(first) && *value <= bound(last)
+    *value >= bound(min) && *value <= bound(max)
 }
 
-/// Types that `FromStr` reads and that have no range.
+/// Implements [`Value`] for types without ranges that are parsed by `FromStr`.
 macro_rules! text_value {
     ($($type:ty, $kind:literal, $example:literal;)*) => {
         $(
@@ -114,12 +114,12 @@
         (!has_fraction).then_some(Self(millis))
     }
 
-    fn is_within(&self, first: &str, last: &str) -> bool {
-        is_between(self, first, last, Self::from_text)
+    fn is_within(&self, min: &str, max: &str) -> bool {
+        is_between(self, min, max, Self::from_text)
     }
 }
 
-/// Reads a duration such as `2.5s`, which `humantime` doesn't know.
+/// Parses a duration such as `2.5s`, which `humantime` doesn't support.
 fn millis_with_decimals(text: &str) -> Option<Millis> {
     let (whole, decimals) = text.strip_suffix('s')?.split_once('.')?;
     let is_number = |part: &str| !part.is_empty() && part.bytes().all(|b| b.is_ascii_digit());
@@ -151,12 +151,12 @@
         number.parse::<u64>().ok()?.checked_mul(factor).map(Self)
     }
 
-    fn is_within(&self, first: &str, last: &str) -> bool {
-        is_between(self, first, last, Self::from_text)
+    fn is_within(&self, min: &str, max: &str) -> bool {
+        is_between(self, min, max, Self::from_text)
     }
 }
 
-/// Whole numbers, which stand without quotes.
+/// Implements [`Value`] for whole numbers, which are written without quotes.
 macro_rules! number_value {
     ($($type:ty),*) => {
         $(
@@ -169,11 +169,11 @@
                 }
 
                 fn from_json(json: &str) -> Result<Self, ValueError> {
-                    serde_json::from_str(json).map_err(|_| ValueError::not_a(Self::KIND))
+                    serde_json::from_str(json).map_err(|_| ValueError::expected(Self::KIND))
                 }
 
-                fn is_within(&self, first: &str, last: &str) -> bool {
-                    is_between(self, first, last, Self::from_text)
+                fn is_within(&self, min: &str, max: &str) -> bool {
+                    is_between(self, min, max, Self::from_text)
                 }
             }
         )*
@@ -200,11 +200,11 @@
     }
 
     fn from_json(json: &str) -> Result<Self, ValueError> {
-        Self::from_text(json).ok_or_else(|| ValueError::not_a(Self::KIND))
+        Self::from_text(json).ok_or_else(|| ValueError::expected(Self::KIND))
     }
 
-    fn is_within(&self, first: &str, last: &str) -> bool {
-        is_between(self, first, last, Self::from_text)
+    fn is_within(&self, min: &str, max: &str) -> bool {
+        is_between(self, min, max, Self::from_text)
     }
 }
 
@@ -217,7 +217,7 @@
     }
 
     fn from_json(json: &str) -> Result<Self, ValueError> {
-        serde_json::from_str(json).map_err(|_| ValueError::not_a(Self::KIND))
+        serde_json::from_str(json).map_err(|_| ValueError::expected(Self::KIND))
     }
 }
 
@@ -234,9 +234,8 @@
         T::from_json(json).map(Some)
     }
 
-    fn is_within(&self, first: &str, last: &str) -> bool {
-        self.as_ref()
-            .is_none_or(|value| value.is_within(first, last))
+    fn is_within(&self, min: &str, max: &str) -> bool {
+        self.as_ref().is_none_or(|value| value.is_within(min, max))
     }
 
     fn absent() -> Option<Self> {
--- a/crates/auburnbridge_settings/tests/settings.rs
+++ b/crates/auburnbridge_settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Guards the parsing of settings files, their errors and the reference page.
+//! Tests of the parsing of settings files, their errors and the reference page.
 
 use std::fs;
 use std::path::Path;
@@ -20,15 +20,15 @@
     KeeperSettings::parse(Path::new("keeper.json"), text)
 }
 
-/// The sample with one option put in place of another line.
-fn edited(sample: &str, line: &str, replacement: &str) -> String {
-    assert!(sample.contains(line), "the sample has no line {line}");
-    sample.replace(line, replacement)
+/// Returns the example with `line` replaced.
+fn edited(example: &str, line: &str, replacement: &str) -> String {
+    assert!(example.contains(line), "the example has no line {line}");
+    example.replace(line, replacement)
 }
 
-/// Guards against samples that don't load, and against a default that differs from its declaration.
+/// Guards against example files that don't load and defaults that differ from their declarations.
 #[test]
-fn samples_load_with_defaults() {
+fn examples_load_with_defaults() {
     let settings = entry(ENTRY).unwrap();
     assert_eq!(settings.balancer_lag, Millis(8_000));
     assert_eq!(settings.shutdown_limit, Millis(30_000));
@@ -48,9 +48,9 @@
     assert_eq!(all.operator_keys[0].services, ServiceScope::All);
 }
 
-/// Guards against a folder that is looked up where the process happens to run.
+/// Guards against relative paths that are resolved against the working directory of the process.
 #[test]
-fn relative_paths_start_at_the_file() {
+fn relative_paths_are_resolved_against_the_file() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("keeper.json");
     fs::write(&path, KEEPER).unwrap();
@@ -60,15 +60,15 @@
     assert_eq!(
         fs::read_dir(folder.path()).unwrap().count(),
         1,
-        "loading left a trace"
+        "loading must not create files"
     );
     let missing = folder.path().join("none.json");
     let error = KeeperSettings::load(&missing).unwrap_err().to_string();
     assert!(error.starts_with(&missing.display().to_string()), "{error}");
 }
 
-/// Guards against declarations that would panic when they are used: defaults or bounds that don't
-/// parse, or a default outside its range.
+/// Guards against declarations that panic when they are used: defaults or bounds that don't parse,
+/// or a default outside its range.
 #[test]
 fn declarations_are_consistent() {
     for option in [EntrySettings::OPTIONS, KeeperSettings::OPTIONS].concat() {
@@ -84,12 +84,12 @@
                 text.to_owned()
             }
         };
-        // Lists are bounded by their length; their only default is the empty one.
+        // The range of a list bounds its length; the only default is the empty list.
         if default == "[]" {
-            assert_eq!(range.first, "0", "{}", option.name);
+            assert_eq!(range.min, "0", "{}", option.name);
             continue;
         }
-        for text in [default, range.first, range.last] {
+        for text in [default, range.min, range.max] {
             let line = format!("{{\"{}\": {}, ", option.name, quoted(text));
             let problems = [
                 entry(&ENTRY.replacen('{', &line, 1)).err(),
@@ -107,8 +107,8 @@
     }
 }
 
-/// Guards against errors that don't name the file, the line, the text or the remedy, and against
-/// files whose errors come one at a time.
+/// Guards against errors without the file, the line, the offending text or a fix, and against a
+/// report of only the first error of a file.
 #[test]
 fn errors_say_what_to_write() {
     let keys = r#"  "keys": "keys","#;
@@ -119,13 +119,13 @@
         ),
         ("not an object", entry("[]").err()),
         ("empty file", entry("").err()),
-        ("nothing set", keeper("{\n}\n").err()),
+        ("empty object", keeper("{\n}\n").err()),
         (
             "unknown option",
             entry(&edited(ENTRY, "balancer_lag", "balancer_lagg")).err(),
         ),
         (
-            "option twice",
+            "repeated option",
             entry(&edited(
                 ENTRY,
                 keys,
@@ -134,7 +134,7 @@
             .err(),
         ),
         (
-            "several at once",
+            "several errors",
             entry(&edited(
                 ENTRY,
                 r#""balancer_lag": "8s""#,
@@ -147,7 +147,7 @@
             .err(),
         ),
         (
-            "options that contradict each other",
+            "conflicting options",
             entry(&edited(
                 ENTRY,
                 r#""balancer_lag": "8s""#,
@@ -157,11 +157,11 @@
             .err(),
         ),
         (
-            "number as text",
+            "number as string",
             keeper(&edited(KEEPER, "{\n", "{\n  \"snapshot_every\": \"4\",\n")).err(),
         ),
         (
-            "own name",
+            "own VM in entries",
             entry(&edited(ENTRY, "entry-2", "entry-1")).err(),
         ),
         (
@@ -169,20 +169,23 @@
             keeper(&edited(KEEPER, "10.0.1.11:7400", "10.0.1.11")).err(),
         ),
         (
-            "item twice",
+            "repeated item",
             keeper(&edited(KEEPER, "keeper-3", "keeper-2")).err(),
         ),
         (
-            "unknown part",
+            "unknown field",
             keeper(&edited(KEEPER, r#""name""#, r#""nom""#)).err(),
         ),
-        ("digest", keeper(&edited(KEEPER, "9f86d081", "9f86")).err()),
         (
-            "no service",
+            "short digest",
+            keeper(&edited(KEEPER, "9f86d081", "9f86")).err(),
+        ),
+        (
+            "empty services",
             keeper(&edited(KEEPER, r#"["stock"]"#, "[]")).err(),
         ),
         (
-            "late heartbeats",
+            "long heartbeat interval",
             keeper(&edited(
                 KEEPER,
                 keys,
@@ -191,7 +194,7 @@
             .err(),
         ),
         (
-            "other port",
+            "different port",
             keeper(&edited(
                 KEEPER,
                 "0.11:7400\",\n  \"op",
@@ -200,17 +203,17 @@
             .err(),
         ),
     ];
-    let shown: Vec<String> = cases
+    let reports: Vec<String> = cases
         .into_iter()
         .map(|(case, error)| {
             let error = error.map_or("accepted".to_owned(), |error| error.to_string());
             format!("# {case}\n{error}\n")
         })
         .collect();
-    insta::assert_snapshot!(shown.join("\n"));
+    insta::assert_snapshot!(reports.join("\n"));
 }
 
-/// Guards against a reference that differs from the declarations.
+/// Guards against a reference page that differs from the declarations.
 #[test]
 fn reference_page_is_current() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/settings.md");
@@ -222,15 +225,16 @@
 }
 
 proptest! {
-    /// Guards against a panic on a damaged file, and against an error that points outside of it.
+    /// Guards against a panic on a corrupted file, and against an error whose line is not in the
+    /// file.
     #[test]
-    fn damaged_files_have_located_errors(
-        sample in prop::sample::select(vec![ENTRY, KEEPER]),
-        damages in prop::collection::vec((any::<prop::sample::Index>(), any::<char>()), 1..4),
+    fn errors_of_corrupted_files_have_valid_lines(
+        example in prop::sample::select(vec![ENTRY, KEEPER]),
+        corruptions in prop::collection::vec((any::<prop::sample::Index>(), any::<char>()), 1..4),
         cut in prop::option::of(any::<prop::sample::Index>()),
     ) {
-        let mut characters: Vec<char> = sample.chars().collect();
-        for (position, character) in damages {
+        let mut characters: Vec<char> = example.chars().collect();
+        for (position, character) in corruptions {
             let position = position.index(characters.len());
             characters[position] = character;
         }
@@ -241,7 +245,7 @@
         let last_line = text.matches('\n').count() + 1;
         for error in [entry(&text).err(), keeper(&text).err()].into_iter().flatten() {
             let SettingsError::Invalid(_, problems) = error else {
-                return Err(TestCaseError::fail("a text was read from a file"));
+                return Err(TestCaseError::fail("parsing a text must not report a read error"));
             };
             prop_assert!(!problems.is_empty());
             for problem in problems {
@@ -251,9 +255,12 @@
         }
     }
 
-    /// Guards against lists whose items are attributed to other lines than their own.
+    /// Guards against an error of a list item that is reported on another line.
     #[test]
-    fn items_are_found_on_their_lines(count in 1_usize..9, wrong in any::<prop::sample::Index>()) {
+    fn item_errors_have_the_line_of_the_item(
+        count in 1_usize..9,
+        wrong in any::<prop::sample::Index>(),
+    ) {
         let wrong = wrong.index(count);
         let items: Vec<String> = (0..count)
             .map(|number| {
@@ -263,7 +270,7 @@
             .collect();
         let text = format!("{{\n\"members\": [\n{}\n]\n}}\n", items.join(",\n"));
         let Err(SettingsError::Invalid(_, problems)) = keeper(&text) else {
-            return Err(TestCaseError::fail("accepted"));
+            return Err(TestCaseError::fail("the invalid address was accepted"));
         };
         let problem = problems.iter().find(|problem| problem.reason.starts_with("`members`:"));
         prop_assert_eq!(problem.map(|problem| problem.line), Some(wrong + 3));
