--- a/crates/auburnbridge_store/src/error.rs
+++ b/crates/auburnbridge_store/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the store.
+//! Errors when a data folder is opened or written.
 
 use std::fmt;
 use std::io;
@@ -8,22 +8,22 @@
 /// Reason why a data folder can't be opened or written.
 #[derive(Debug)]
 pub enum StoreError {
-    /// The file system refused an operation.
+    /// A file operation failed.
     Io {
         /// The file, relative to the folder.
         file: String,
-        /// What was attempted.
+        /// The operation, as a verb that goes before the file name.
         action: &'static str,
         /// The cause.
         source: io::Error,
     },
     /// Another process has the folder open.
     Locked,
-    /// A file holds something that no crash of this program leaves behind.
+    /// A file has content that no crash of this program can leave behind.
     Damaged {
         /// The file, relative to the folder.
         file: String,
-        /// Position of the damage in the file.
+        /// Byte offset of the damage in the file.
         offset: u64,
         /// What is wrong.
         reason: &'static str,
@@ -35,14 +35,14 @@
         /// Its format version.
         version: u8,
     },
-    /// The records to append don't follow the last one.
+    /// The records to append don't start at the index after the last one.
     Gap {
-        /// Index that was expected.
+        /// The next index of the log.
         expected: LogIndex,
-        /// Index that was given.
+        /// Index of the first record to append.
         found: LogIndex,
     },
-    /// An earlier operation failed, so that the state of the disk is unknown.
+    /// An earlier operation failed, so the state of the files is unknown.
     Unusable,
 }
 
--- a/crates/auburnbridge_store/src/files.rs
+++ b/crates/auburnbridge_store/src/files.rs
@@ -1,32 +1,35 @@
-//! The file operations that the store uses.
+//! The file system operations that the store needs.
 
 use std::io;
 
-/// Operations on the files of one folder, by name. Nothing is durable until it is synced: content
-/// by `sync`, and creation, renaming and removal by `sync_folder`.
+/// Operations on the files of one folder, by file name.
+///
+/// A change is durable only after a sync: content after `sync`, creation, renaming and removal
+/// after `sync_folder`.
 pub trait Files: Send {
-    /// Keeps other processes out until this value is dropped; false if another one is in.
+    /// Locks the folder until this value is dropped; returns `false` if another process holds the
+    /// lock.
     fn lock(&mut self) -> io::Result<bool>;
 
-    /// Names of all files.
+    /// Lists the names of all files.
     fn list(&mut self) -> io::Result<Vec<String>>;
 
-    /// Content of a file.
+    /// Reads the whole file.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Creates a file with this content, or replaces its content.
+    /// Creates a file with `data` as its content, or replaces the content of an existing one.
     fn create(&mut self, name: &str, data: &[u8]) -> io::Result<()>;
 
-    /// Adds to the end of a file.
+    /// Appends `data` to a file.
     fn append(&mut self, name: &str, data: &[u8]) -> io::Result<()>;
 
-    /// Shortens a file.
+    /// Shortens a file to `length` bytes.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
 
     /// Makes the content of a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Renames a file, replacing the one with the new name.
+    /// Renames a file and replaces any file that has the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
--- a/crates/auburnbridge_store/src/frame.rs
+++ b/crates/auburnbridge_store/src/frame.rs
@@ -1,20 +1,21 @@
 //! File headers and checksummed frames.
 //!
-//! A header is the four bytes `ABRG`, the kind of file, the format version and two zero bytes. A
-//! frame is its body's length, a checksum of all that follows, an index, the length of the file
-//! that was synced before the frame was written, and the body; numbers are little-endian.
+//! A header has 8 bytes: the four bytes `ABRG` as magic number, the kind of file, the format
+//! version and two zero bytes. A frame has the length of its body, a CRC-32 of all its other bytes,
+//! an index, the length of the file that was synced before the frame was written, and the body.
+//! Numbers are little-endian.
 
 use crate::{FORMAT_VERSION, StoreError};
 
 const MAGIC: [u8; 4] = *b"ABRG";
 
-/// Bytes of a file header.
+/// Size of a file header.
 pub(crate) const HEADER_BYTES: usize = 8;
 
-/// Bytes of a frame before its body.
+/// Size of a frame without its body.
 pub(crate) const FRAME_HEADER_BYTES: usize = 4 + 4 + 8 + 8;
 
-/// What a file holds.
+/// Kind of a file, as stated in its header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FileKind {
     Identity = 1,
@@ -23,18 +24,19 @@
     Segment = 4,
 }
 
+/// Encodes the header of a file.
 pub(crate) fn header(kind: FileKind) -> [u8; HEADER_BYTES] {
     let [a, b, c, d] = MAGIC;
     [a, b, c, d, kind as u8, FORMAT_VERSION, 0, 0]
 }
 
-/// Checks the header of `file`.
+/// Checks the magic number, the kind and the format version in the header of `file`.
 pub(crate) fn check_header(file: &str, data: &[u8], kind: FileKind) -> Result<(), StoreError> {
     if data.len() < HEADER_BYTES || data[..4] != MAGIC || data[4] != kind as u8 {
         return Err(StoreError::damaged(
             file,
             0,
-            "the header is not one of this kind of file",
+            "the header has the wrong magic number or file kind",
         ));
     }
     let version = data[5];
@@ -50,30 +52,31 @@
     Ok(())
 }
 
-/// A frame in a buffer.
+/// A decoded frame, or one to encode.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Frame<'a> {
     pub(crate) index: u64,
-    /// Length of the file that was synced before this frame was written.
-    pub(crate) synced: u64,
+    /// Synced length of the file before this frame was written.
+    pub(crate) synced_length: u64,
     pub(crate) body: &'a [u8],
 }
 
 impl<'a> Frame<'a> {
     pub(crate) fn encode(&self, buf: &mut Vec<u8>) {
         let length =
-            u32::try_from(self.body.len()).expect("the callers bound the body below 4 GiB");
+            u32::try_from(self.body.len()).expect("callers limit the body to less than 4 GiB");
         let start = buf.len();
         buf.extend_from_slice(&length.to_le_bytes());
         buf.extend_from_slice(&[0; 4]);
         buf.extend_from_slice(&self.index.to_le_bytes());
-        buf.extend_from_slice(&self.synced.to_le_bytes());
+        buf.extend_from_slice(&self.synced_length.to_le_bytes());
         buf.extend_from_slice(self.body);
         let checksum = checksum(length, &buf[start + 8..]);
         buf[start + 4..start + 8].copy_from_slice(&checksum.to_le_bytes());
     }
 
-    /// The frame at the start of `data`; `None` if it is incomplete or its checksum is wrong.
+    /// Decodes the frame at the start of `data`; `None` if it is incomplete or its checksum is
+    /// wrong.
     pub(crate) fn decode(data: &'a [u8]) -> Option<Self> {
         let length = u32::from_le_bytes(data.get(..4)?.try_into().ok()?);
         let expected = u32::from_le_bytes(data.get(4..8)?.try_into().ok()?);
@@ -84,18 +87,19 @@
         }
         Some(Self {
             index: u64::from_le_bytes(rest[..8].try_into().ok()?),
-            synced: u64::from_le_bytes(rest[8..16].try_into().ok()?),
+            synced_length: u64::from_le_bytes(rest[8..16].try_into().ok()?),
             body: &rest[16..],
         })
     }
 
+    /// Encoded size in bytes.
     pub(crate) fn size(&self) -> usize {
         FRAME_HEADER_BYTES + self.body.len()
     }
 }
 
-/// The synced length that a frame at the start of `data` would state, without checking it.
-pub(crate) fn synced_field(data: &[u8]) -> Option<u64> {
+/// Reads the synced length of the frame at the start of `data` without verifying its checksum.
+pub(crate) fn peek_synced_length(data: &[u8]) -> Option<u64> {
     let field = data.get(FRAME_HEADER_BYTES - 8..FRAME_HEADER_BYTES)?;
     Some(u64::from_le_bytes(field.try_into().ok()?))
 }
@@ -107,20 +111,20 @@
     hasher.finalize()
 }
 
-/// Content of a file that holds one frame.
-pub(crate) fn whole_file(kind: FileKind, index: u64, body: &[u8]) -> Vec<u8> {
+/// Encodes a file that has a single frame.
+pub(crate) fn encode_file(kind: FileKind, index: u64, body: &[u8]) -> Vec<u8> {
     let mut buf = header(kind).to_vec();
     Frame {
         index,
-        synced: 0,
+        synced_length: 0,
         body,
     }
     .encode(&mut buf);
     buf
 }
 
-/// Body of a file that holds one frame.
-pub(crate) fn read_whole_file<'a>(
+/// Decodes a file that has a single frame and returns the body of the frame.
+pub(crate) fn decode_file<'a>(
     file: &str,
     data: &'a [u8],
     kind: FileKind,
--- a/crates/auburnbridge_store/src/lib.rs
+++ b/crates/auburnbridge_store/src/lib.rs
@@ -1,30 +1,31 @@
-//! Durable storage of one replica of the log.
+//! Durable storage of one replica of the replicated log.
 //!
 //! A data folder holds:
 //!
-//! - `identity`: the random id of the folder;
-//! - `hard-state`: term, vote and boots, replaced as a whole;
+//! - `identity`: the replica id, drawn at random when the folder is created;
+//! - `hard-state`: term, vote and boots, replaced as one file;
 //! - `snapshot-INDEX`: the latest snapshot;
-//! - `log-INDEX`: segments of records, named by their first record;
-//! - `lock`: keeps a second process out.
+//! - `log-INDEX`: segments of the log, named after the index of their first record;
+//! - `lock`: locked while a process has the folder open.
 //!
-//! Whole files are written under a temporary name, synced and renamed, and the folder is synced.
-//! Records are appended to the last segment. Each file starts with a header that has a format
-//! version, and each frame in it has a length, a checksum and an index.
+//! Files other than segments are replaced atomically: written under a temporary name, synced and
+//! renamed, then the folder is synced. Records are appended to the last segment. Each file starts
+//! with a header that has a format version, and each frame in it has a length, a checksum and an
+//! index.
 //!
-//! After a failed write or sync the store refuses all work: what the disk holds is then unknown,
-//! and a later sync may succeed without having written the lost data.
+//! After a failed write or sync the store refuses all further operations: the state of the disk is
+//! then unknown, and a later sync may succeed without having written the lost data.
 
 mod error;
 mod files;
 mod frame;
 mod memory;
-mod real;
+mod os;
 mod segment;
 mod store;
 
 pub use error::StoreError;
 pub use files::Files;
 pub use memory::MemoryFiles;
-pub use real::RealFiles;
+pub use os::OsFiles;
 pub use store::{FORMAT_VERSION, Store};
--- a/crates/auburnbridge_store/src/memory.rs
+++ b/crates/auburnbridge_store/src/memory.rs
@@ -1,4 +1,4 @@
-//! Files in memory that lose unsynced data on a crash, for tests.
+//! In-memory files for tests, which lose unsynced changes on a simulated crash.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -6,20 +6,20 @@
 
 use crate::Files;
 
-/// Files in memory. Clones share the files, as a restarted process shares a disk.
+/// In-memory files. Clones share the same files, as a restarted process uses the same disk.
 ///
-/// A crash keeps what was synced and an arbitrary part of the rest: any prefix of the unsynced
+/// A crash keeps all synced changes and an arbitrary part of the others: any prefix of the unsynced
 /// changes to the folder, and any prefix of the unsynced bytes of each file.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryFiles {
     disk: Arc<Mutex<Disk>>,
-    /// Number of crashes that this handle has seen; an older handle can do nothing more.
-    life: u64,
+    /// Number of crashes before this handle was created; changes through an older handle fail.
+    generation: u64,
 }
 
 #[derive(Debug, Default)]
 struct Disk {
-    contents: Vec<Content>,
+    contents: Vec<FileContent>,
     names: BTreeMap<String, usize>,
     synced_names: BTreeMap<String, usize>,
     unsynced_changes: Vec<NameChange>,
@@ -30,7 +30,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Content {
+struct FileContent {
     data: Vec<u8>,
     synced: Vec<u8>,
 }
@@ -60,29 +60,30 @@
     }
 }
 
-impl Content {
-    /// Synced bytes, then some of what was written since.
+impl FileContent {
+    /// Content after a crash: the unchanged synced bytes, then an arbitrary prefix of the bytes
+    /// written since. An unsynced truncation may also be lost.
     fn after_crash(&self, choose: &mut impl FnMut(usize) -> usize) -> Vec<u8> {
         if self.data == self.synced {
             return self.synced.clone();
         }
-        let shared = self
+        let common = self
             .data
             .iter()
             .zip(&self.synced)
             .take_while(|(a, b)| a == b)
             .count();
-        let was_cut = shared < self.synced.len();
-        if was_cut && choose(2) == 0 {
+        let was_truncated = common < self.synced.len();
+        if was_truncated && choose(2) == 0 {
             return self.synced.clone();
         }
-        let kept = choose(self.data.len() - shared + 1);
-        self.data[..shared + kept].to_vec()
+        let kept = choose(self.data.len() - common + 1);
+        self.data[..common + kept].to_vec()
     }
 }
 
 impl MemoryFiles {
-    /// An empty folder.
+    /// Creates an empty folder.
     pub fn new() -> Self {
         Self::default()
     }
@@ -91,19 +92,19 @@
         self.disk.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Number of writes, syncs, renamings and removals so far.
+    /// Number of writes, truncations, syncs, renamings and removals so far.
     pub fn operations(&self) -> u64 {
         self.disk().operations
     }
 
-    /// Stops at the operation with this number and fails all later ones. A stopped write leaves
-    /// half of its bytes.
+    /// Fails the operation with this number and all later ones. A write that fails at this number
+    /// still writes half of its bytes.
     pub fn stop_at(&self, operation: u64) {
         self.disk().stop_at = Some(operation);
     }
 
-    /// Ends the present process and returns the files as the next one finds them. `choose` returns
-    /// a number below its argument and decides what survives of the unsynced changes.
+    /// Simulates a crash and returns the files as the restarted process finds them. `choose`
+    /// returns a number below its argument and decides which unsynced changes survive.
     #[must_use]
     pub fn crash(&self, mut choose: impl FnMut(usize) -> usize) -> Self {
         let mut disk = self.disk();
@@ -123,15 +124,15 @@
         disk.locked = false;
         disk.stop_at = None;
         disk.crashes += 1;
-        let life = disk.crashes;
+        let generation = disk.crashes;
         drop(disk);
         Self {
             disk: Arc::clone(&self.disk),
-            life,
+            generation,
         }
     }
 
-    /// An independent copy of the folder as it is on disk, such as a backup.
+    /// An independent copy of the synced state of the folder, as a backup would have it.
     #[must_use]
     pub fn copy(&self) -> Self {
         let disk = self.disk();
@@ -146,11 +147,11 @@
                 synced_names: disk.synced_names.clone(),
                 ..Disk::default()
             })),
-            life: 0,
+            generation: 0,
         }
     }
 
-    /// Changes a byte on disk, as bit rot would.
+    /// Flips bits of the byte at `offset`, to simulate corruption on disk.
     pub fn damage(&self, name: &str, offset: usize) {
         let mut disk = self.disk();
         if let Some(content) = disk.names.get(name).copied() {
@@ -160,9 +161,10 @@
         }
     }
 
-    /// Counts an operation; `Err(true)` if the process stops during it.
-    fn begin(&self, disk: &mut Disk) -> Result<(), bool> {
-        if self.life != disk.crashes {
+    /// Counts an operation. `Err(true)` if this operation is the first to fail, `Err(false)` if an
+    /// earlier one failed or the handle is from before a crash.
+    fn begin_operation(&self, disk: &mut Disk) -> Result<(), bool> {
+        if self.generation != disk.crashes {
             return Err(false);
         }
         disk.operations += 1;
@@ -175,26 +177,27 @@
 
     fn change(&self, action: impl FnOnce(&mut Disk) -> io::Result<()>) -> io::Result<()> {
         let mut disk = self.disk();
-        self.begin(&mut disk).map_err(|_| stopped())?;
+        self.begin_operation(&mut disk)
+            .map_err(|_| stopped_error())?;
         action(&mut disk)
     }
 }
 
-fn stopped() -> io::Error {
-    io::Error::other("the process was stopped")
+fn stopped_error() -> io::Error {
+    io::Error::other("the simulated process has stopped")
 }
 
-fn missing(name: &str) -> io::Error {
+fn not_found(name: &str) -> io::Error {
     io::Error::new(io::ErrorKind::NotFound, name.to_owned())
 }
 
 impl Disk {
-    fn content(&mut self, name: &str) -> io::Result<&mut Content> {
-        let content = *self.names.get(name).ok_or_else(|| missing(name))?;
+    fn content(&mut self, name: &str) -> io::Result<&mut FileContent> {
+        let content = *self.names.get(name).ok_or_else(|| not_found(name))?;
         Ok(&mut self.contents[content])
     }
 
-    fn rename_entry(&mut self, change: NameChange) {
+    fn change_name(&mut self, change: NameChange) {
         change.apply(&mut self.names);
         self.unsynced_changes.push(change);
     }
@@ -205,11 +208,11 @@
             return;
         }
         let content = self.contents.len();
-        self.contents.push(Content {
+        self.contents.push(FileContent {
             data: data.to_vec(),
             synced: Vec::new(),
         });
-        self.rename_entry(NameChange::Set(name.to_owned(), content));
+        self.change_name(NameChange::Set(name.to_owned(), content));
     }
 }
 
@@ -229,30 +232,30 @@
 
     fn create(&mut self, name: &str, data: &[u8]) -> io::Result<()> {
         let mut disk = self.disk();
-        match self.begin(&mut disk) {
+        match self.begin_operation(&mut disk) {
             Ok(()) => {
                 disk.create(name, data);
                 Ok(())
             }
-            Err(during) => {
-                if during {
+            Err(is_first_failure) => {
+                if is_first_failure {
                     disk.create(name, &data[..data.len() / 2]);
                 }
-                Err(stopped())
+                Err(stopped_error())
             }
         }
     }
 
     fn append(&mut self, name: &str, data: &[u8]) -> io::Result<()> {
         let mut disk = self.disk();
-        let begun = self.begin(&mut disk);
-        let written = match begun {
+        let result = self.begin_operation(&mut disk);
+        let written = match result {
             Ok(()) => data,
             Err(true) => &data[..data.len() / 2],
-            Err(false) => return Err(stopped()),
+            Err(false) => return Err(stopped_error()),
         };
         disk.content(name)?.data.extend_from_slice(written);
-        begun.map_err(|_| stopped())
+        result.map_err(|_| stopped_error())
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
@@ -274,7 +277,7 @@
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         self.change(|disk| {
             disk.content(from)?;
-            disk.rename_entry(NameChange::Rename(from.to_owned(), to.to_owned()));
+            disk.change_name(NameChange::Rename(from.to_owned(), to.to_owned()));
             Ok(())
         })
     }
@@ -282,7 +285,7 @@
     fn remove(&mut self, name: &str) -> io::Result<()> {
         self.change(|disk| {
             disk.content(name)?;
-            disk.rename_entry(NameChange::Remove(name.to_owned()));
+            disk.change_name(NameChange::Remove(name.to_owned()));
             Ok(())
         })
     }
--- a/crates/auburnbridge_store/src/real.rs
+++ b/crates/auburnbridge_store/src/os.rs
@@ -1,4 +1,4 @@
-//! Files of the operating system.
+//! Files in a folder of the operating system's file system.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Write};
@@ -8,17 +8,18 @@
 
 const LOCK_FILE: &str = "lock";
 
-/// Files in a folder of the operating system.
+/// Files in a folder of the operating system's file system.
 #[derive(Debug)]
-pub struct RealFiles {
+pub struct OsFiles {
     folder: PathBuf,
     lock: Option<File>,
-    /// The file that was written last, kept open since a segment is appended to many times.
-    open: Option<(String, File)>,
+    /// Name and handle of the last file that was appended to, truncated or synced. It stays open
+    /// because a segment is appended to many times.
+    append_handle: Option<(String, File)>,
 }
 
-impl RealFiles {
-    /// Uses `folder`, which is created if it is missing.
+impl OsFiles {
+    /// Uses the files in `folder`, which is created if it does not exist.
     pub fn new(folder: &Path) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
         if let Some(parent) = folder.parent().filter(|path| !path.as_os_str().is_empty()) {
@@ -27,23 +28,26 @@
         Ok(Self {
             folder: folder.to_owned(),
             lock: None,
-            open: None,
+            append_handle: None,
         })
     }
 
-    fn opened(&mut self, name: &str) -> io::Result<&mut File> {
-        let reusable = self.open.take().filter(|(open, _)| open == name);
+    fn open_for_append(&mut self, name: &str) -> io::Result<&mut File> {
+        let reusable = self
+            .append_handle
+            .take()
+            .filter(|(open_name, _)| open_name == name);
         let file = match reusable {
             Some((_, file)) => file,
             None => OpenOptions::new()
                 .append(true)
                 .open(self.folder.join(name))?,
         };
-        Ok(&mut self.open.insert((name.to_owned(), file)).1)
+        Ok(&mut self.append_handle.insert((name.to_owned(), file)).1)
     }
 }
 
-impl Files for RealFiles {
+impl Files for OsFiles {
     fn lock(&mut self) -> io::Result<bool> {
         let file = OpenOptions::new()
             .write(true)
@@ -77,29 +81,29 @@
     fn create(&mut self, name: &str, data: &[u8]) -> io::Result<()> {
         let mut file = File::create(self.folder.join(name))?;
         file.write_all(data)?;
-        self.open = None;
+        self.append_handle = None;
         Ok(())
     }
 
     fn append(&mut self, name: &str, data: &[u8]) -> io::Result<()> {
-        self.opened(name)?.write_all(data)
+        self.open_for_append(name)?.write_all(data)
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        self.opened(name)?.set_len(length)
+        self.open_for_append(name)?.set_len(length)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.opened(name)?.sync_data()
+        self.open_for_append(name)?.sync_data()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.open = None;
+        self.append_handle = None;
         fs::rename(self.folder.join(from), self.folder.join(to))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.open = None;
+        self.append_handle = None;
         fs::remove_file(self.folder.join(name))
     }
 
--- a/crates/auburnbridge_store/src/store.rs
+++ b/crates/auburnbridge_store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: opening a folder, and writing what the replica asks for.
+//! Opens a data folder and persists the changes of a replica.
 
 use std::io;
 use std::path::Path;
@@ -8,11 +8,11 @@
 };
 use uuid::Uuid;
 
-use crate::frame::{FileKind, Frame, HEADER_BYTES, header, read_whole_file, whole_file};
+use crate::frame::{FileKind, Frame, HEADER_BYTES, decode_file, encode_file, header};
 use crate::segment::{Segment, scan};
-use crate::{Files, RealFiles, StoreError};
+use crate::{Files, OsFiles, StoreError};
 
-/// Format version of all files.
+/// Version of the file format that this build writes, and the newest that it reads.
 pub const FORMAT_VERSION: u8 = 1;
 
 const IDENTITY_FILE: &str = "identity";
@@ -20,7 +20,7 @@
 const SNAPSHOT_PREFIX: &str = "snapshot-";
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// Size at which a new segment starts; a snapshot frees whole segments.
+/// Length in bytes at which a new segment starts. A snapshot frees only whole segments.
 const SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
 
 /// The open data folder of one replica.
@@ -34,9 +34,12 @@
 }
 
 impl Store {
-    /// Opens a folder of the operating system, or makes one with a new identity, and begins a boot.
+    /// Opens the data folder, or creates one with a new replica id, and starts a new boot.
+    ///
+    /// Fails if another process has the folder open, a file is damaged or written by a newer
+    /// version, or a file operation fails.
     pub fn open(folder: &Path) -> Result<(Self, Recovered), StoreError> {
-        let files = RealFiles::new(folder).map_err(|source| StoreError::Io {
+        let files = OsFiles::new(folder).map_err(|source| StoreError::Io {
             file: folder.display().to_string(),
             action: "create",
             source,
@@ -44,7 +47,8 @@
         Self::open_files(Box::new(files), || Uuid::new_v4().as_u128())
     }
 
-    /// Opens a folder through `files`; `random` returns numbers that never repeat.
+    /// Opens a data folder through `files`, with the errors of [`Store::open`]. `random` returns
+    /// numbers that never repeat.
     pub fn open_files(
         files: Box<dyn Files>,
         mut random: impl FnMut() -> u128,
@@ -57,10 +61,10 @@
             folder_changed: false,
             is_usable: true,
         };
-        if !store.run("lock", "lock", Files::lock)? {
+        if !store.run_operation("lock", "lock", Files::lock)? {
             return Err(StoreError::Locked);
         }
-        let names = store.run(".", "list", Files::list)?;
+        let names = store.run_operation(".", "list", Files::list)?;
         store.remove_temporary_files(&names)?;
         let has = |file: &str| names.iter().any(|name| name == file);
         let has_state = names
@@ -100,12 +104,12 @@
         Ok((store, recovered))
     }
 
-    /// Sets the size at which a new segment starts.
+    /// Sets the length in bytes at which a new segment starts.
     pub fn set_segment_bytes(&mut self, bytes: u64) {
         self.segment_bytes = bytes;
     }
 
-    /// Writes and syncs everything that `persist` holds.
+    /// Writes all changes in `persist`; durable on return.
     pub fn persist(&mut self, persist: &Persist) -> Result<(), StoreError> {
         if let Some(hard_state) = &persist.hard_state {
             self.write_hard_state(hard_state)?;
@@ -128,7 +132,9 @@
         self.write_value(HARD_STATE_FILE, FileKind::HardState, hard_state)
     }
 
-    /// Appends records that follow the last one; durable after [`Store::sync`].
+    /// Appends records; durable after [`Store::sync`].
+    ///
+    /// Fails with [`StoreError::Gap`] if they don't start at the next index.
     pub fn append(&mut self, records: &[Record]) -> Result<(), StoreError> {
         self.check_usable()?;
         let Some(first) = records.first() else {
@@ -149,17 +155,19 @@
         let start = segment.length;
         for record in records {
             let body = postcard::to_stdvec(record).expect("all fields of a record can be encoded");
-            segment.places.push((start + buf.len() as u64, record.term));
+            segment
+                .positions
+                .push((start + buf.len() as u64, record.term));
             Frame {
                 index: record.index.0,
-                synced: segment.synced,
+                synced_length: segment.synced_length,
                 body: &body,
             }
             .encode(&mut buf);
         }
         segment.length += buf.len() as u64;
         let name = segment.name.clone();
-        self.run(&name, "append to", |files| files.append(&name, &buf))
+        self.run_operation(&name, "append to", |files| files.append(&name, &buf))
     }
 
     /// Makes all appended records durable.
@@ -168,18 +176,19 @@
         let unsynced = self
             .segments
             .last()
-            .filter(|segment| segment.synced < segment.length)
+            .filter(|segment| segment.synced_length < segment.length)
             .map(|segment| segment.name.clone());
         if let Some(name) = unsynced {
-            self.run(&name, "sync", |files| files.sync(&name))?;
+            self.run_operation(&name, "sync", |files| files.sync(&name))?;
             if let Some(segment) = self.segments.last_mut() {
-                segment.synced = segment.length;
+                segment.synced_length = segment.length;
             }
         }
         self.sync_folder()
     }
 
-    /// Writes a snapshot, durable on return, and drops records that don't fit to it.
+    /// Writes a snapshot and removes the log if it doesn't continue the snapshot; durable on
+    /// return.
     pub fn write_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), StoreError> {
         let meta = &snapshot.meta;
         let name = format!("{SNAPSHOT_PREFIX}{:020}", meta.index.0);
@@ -194,7 +203,8 @@
         self.sync_folder()
     }
 
-    /// Drops the segments that hold only records up to `through`.
+    /// Removes the segments whose records all have indexes up to `through`, except the last
+    /// segment.
     pub fn truncate_prefix(&mut self, through: LogIndex) -> Result<(), StoreError> {
         self.check_usable()?;
         while self.segments.len() > 1 && self.segments[0].end() <= through.next() {
@@ -204,23 +214,23 @@
         self.sync_folder()
     }
 
-    /// Drops the records from `from` on; durable on return.
+    /// Removes the records from index `from` on; durable on return.
     pub fn truncate_suffix(&mut self, from: LogIndex) -> Result<(), StoreError> {
         self.check_usable()?;
         self.remove_segments_from(from)?;
         let Some(segment) = self.segments.last_mut() else {
             return Ok(());
         };
-        let Some((offset, _)) = segment.place(from) else {
+        let Some((offset, _)) = segment.position(from) else {
             return Ok(());
         };
         let kept = usize::try_from(from.0 - segment.first.0).unwrap_or(usize::MAX);
-        segment.places.truncate(kept);
+        segment.positions.truncate(kept);
         segment.length = offset;
-        segment.synced = offset;
+        segment.synced_length = offset;
         let name = segment.name.clone();
-        self.run(&name, "truncate", |files| files.truncate(&name, offset))?;
-        self.run(&name, "sync", |files| files.sync(&name))
+        self.run_operation(&name, "truncate", |files| files.truncate(&name, offset))?;
+        self.run_operation(&name, "sync", |files| files.sync(&name))
     }
 
     fn next_index(&self) -> LogIndex {
@@ -239,11 +249,12 @@
             .iter()
             .rev()
             .find(|segment| segment.first <= index)?;
-        segment.place(index).map(|(_, term)| term)
+        segment.position(index).map(|(_, term)| term)
     }
 
-    /// Whether the records include the snapshot's last one, or start right after it. Otherwise they
-    /// stem from before the snapshot was received, and what follows it in the log is not theirs.
+    /// Whether the log contains the last record of the snapshot, or starts right after it.
+    /// Otherwise its records predate a snapshot received from another replica and may conflict with
+    /// the records that follow it.
     fn continues_snapshot(&self) -> bool {
         let (Some(meta), Some(first)) = (&self.snapshot, self.segments.first()) else {
             return true;
@@ -264,7 +275,7 @@
         let name = segment.name.clone();
         self.segments.push(segment);
         self.folder_changed = true;
-        self.run(&name, "create", |files| {
+        self.run_operation(&name, "create", |files| {
             files.create(&name, &header(FileKind::Segment))
         })
     }
@@ -278,14 +289,14 @@
 
     fn remove(&mut self, name: &str) -> Result<(), StoreError> {
         self.folder_changed = true;
-        self.run(name, "remove", |files| files.remove(name))
+        self.run_operation(name, "remove", |files| files.remove(name))
     }
 
     fn sync_folder(&mut self) -> Result<(), StoreError> {
         if !self.folder_changed {
             return Ok(());
         }
-        self.run(".", "sync", Files::sync_folder)?;
+        self.run_operation(".", "sync", Files::sync_folder)?;
         self.folder_changed = false;
         Ok(())
     }
@@ -297,7 +308,7 @@
         self.sync_folder()
     }
 
-    /// Writes a whole file under a temporary name and renames it; durable on return.
+    /// Replaces a file atomically by writing a temporary file and renaming it; durable on return.
     fn write_value<T: serde::Serialize>(
         &mut self,
         name: &str,
@@ -306,11 +317,11 @@
     ) -> Result<(), StoreError> {
         self.check_usable()?;
         let body = postcard::to_stdvec(value).expect("all fields of the state can be encoded");
-        let data = whole_file(kind, 0, &body);
+        let data = encode_file(kind, 0, &body);
         let temporary = format!("{name}{TEMPORARY_SUFFIX}");
-        self.run(&temporary, "write", |files| files.create(&temporary, &data))?;
-        self.run(&temporary, "sync", |files| files.sync(&temporary))?;
-        self.run(name, "rename", |files| files.rename(&temporary, name))?;
+        self.run_operation(&temporary, "write", |files| files.create(&temporary, &data))?;
+        self.run_operation(&temporary, "sync", |files| files.sync(&temporary))?;
+        self.run_operation(name, "rename", |files| files.rename(&temporary, name))?;
         self.folder_changed = true;
         self.sync_folder()
     }
@@ -320,14 +331,14 @@
         name: &str,
         kind: FileKind,
     ) -> Result<T, StoreError> {
-        let data = self.run(name, "read", |files| files.read(name))?;
-        let body = read_whole_file(name, &data, kind)?;
+        let data = self.run_operation(name, "read", |files| files.read(name))?;
+        let body = decode_file(name, &data, kind)?;
         postcard::from_bytes(body).map_err(|_| {
             StoreError::damaged(name, HEADER_BYTES as u64, "the content can't be decoded")
         })
     }
 
-    /// Reads the latest snapshot and removes older ones, which a crash may have left.
+    /// Reads the latest snapshot and removes older ones, which a crash may have left behind.
     fn read_snapshot(&mut self, names: &[String]) -> Result<Option<Snapshot>, StoreError> {
         let mut indexes: Vec<_> = names
             .iter()
@@ -343,7 +354,7 @@
             return Err(StoreError::damaged(
                 &name,
                 0,
-                "the snapshot has another index",
+                "the snapshot's index differs from the one in the file name",
             ));
         }
         for older in indexes {
@@ -353,18 +364,18 @@
         Ok(Some(snapshot))
     }
 
-    /// Reads the segments, cuts a torn tail and returns the records after the snapshot.
+    /// Reads the segments, truncates a torn tail and returns the records after the snapshot.
     fn read_segments(&mut self, names: &[String]) -> Result<Vec<Record>, StoreError> {
-        let mut firsts: Vec<_> = names
+        let mut first_indexes: Vec<_> = names
             .iter()
             .filter_map(|name| Segment::parse_name(name))
             .collect();
-        firsts.sort_unstable();
+        first_indexes.sort_unstable();
         let mut records = Vec::new();
-        let last = firsts.last().copied();
-        for first in firsts {
+        let last = first_indexes.last().copied();
+        for first in first_indexes {
             let name = Segment::new(first).name;
-            let data = self.run(&name, "read", |files| files.read(&name))?;
+            let data = self.run_operation(&name, "read", |files| files.read(&name))?;
             let is_last = Some(first) == last;
             if is_last && is_torn_header(&data) {
                 self.remove(&name)?;
@@ -377,7 +388,7 @@
                 return Err(StoreError::damaged(
                     &name,
                     0,
-                    "records before this file are missing",
+                    "records between the previous segment and this one are missing",
                 ));
             }
             if scan.is_torn {
@@ -386,20 +397,23 @@
                     return Err(StoreError::damaged(
                         &name,
                         offset,
-                        "a record is damaged, and a later file exists",
+                        "a record is damaged in a segment that is not the last one",
                     ));
                 }
-                self.run(&name, "truncate", |files| files.truncate(&name, offset))?;
-                self.run(&name, "sync", |files| files.sync(&name))?;
+                self.run_operation(&name, "truncate", |files| files.truncate(&name, offset))?;
+                self.run_operation(&name, "sync", |files| files.sync(&name))?;
             }
             self.segments.push(scan.segment);
             records.extend(scan.records);
         }
         self.sync_folder()?;
-        self.keep_after_snapshot(records)
+        self.keep_records_after_snapshot(records)
     }
 
-    fn keep_after_snapshot(&mut self, records: Vec<Record>) -> Result<Vec<Record>, StoreError> {
+    fn keep_records_after_snapshot(
+        &mut self,
+        records: Vec<Record>,
+    ) -> Result<Vec<Record>, StoreError> {
         let after_snapshot = self
             .snapshot
             .as_ref()
@@ -410,7 +424,7 @@
             return Err(StoreError::damaged(
                 &first.name,
                 0,
-                "records between the snapshot and this file are missing",
+                "records between the snapshot and this segment are missing",
             ));
         }
         if !self.continues_snapshot() {
@@ -431,7 +445,9 @@
         }
     }
 
-    fn run<T>(
+    /// Runs a file operation. A failure makes the store unusable, because the state of the files is
+    /// then unknown.
+    fn run_operation<T>(
         &mut self,
         file: &str,
         action: &'static str,
@@ -448,12 +464,13 @@
     }
 }
 
-/// Index of a snapshot file.
+/// Parses the index from the name of a snapshot file; `None` for other files.
 fn snapshot_index(name: &str) -> Option<LogIndex> {
     name.strip_prefix(SNAPSHOT_PREFIX)?.parse().ok()
 }
 
-/// A segment whose creation was never synced.
+/// Whether the header of a segment is incomplete or all zeros, because its creation was never
+/// synced.
 fn is_torn_header(data: &[u8]) -> bool {
     data.len() < HEADER_BYTES || data[..HEADER_BYTES] == [0; HEADER_BYTES]
 }
--- a/crates/auburnbridge_store/tests/recovery.rs
+++ b/crates/auburnbridge_store/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Crashes at each write, sync and rename, and damaged files.
+//! Recovery after a crash at each file operation, and detection of damaged files.
 
 use std::sync::Arc;
 
@@ -6,15 +6,15 @@
     HardState, LogIndex, Members, Payload, Persist, Record, Recovered, ReplicaId, Snapshot,
     SnapshotMeta, Term,
 };
-use auburnbridge_store::{Files, MemoryFiles, RealFiles, Store, StoreError};
+use auburnbridge_store::{Files, MemoryFiles, OsFiles, Store, StoreError};
 use auburnbridge_types::Timestamp;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Numbers that depend only on the seed.
-struct Numbers(u64);
+/// Random numbers that depend only on the seed.
+struct SeededRng(u64);
 
-impl Numbers {
+impl SeededRng {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -26,7 +26,7 @@
     }
 }
 
-/// What the folder should hold.
+/// Expected content of the folder.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Model {
     hard: HardState,
@@ -67,23 +67,24 @@
         self.records.extend(persist.records.iter().cloned());
     }
 
-    /// A next write: a vote, records, a replaced suffix, a snapshot of the log or a received one.
-    fn next_write(&self, numbers: &mut Numbers) -> Persist {
+    /// Draws the next write: a vote, new records, a replaced suffix, a snapshot of the own log or
+    /// one received from another replica.
+    fn next_write(&self, rng: &mut SeededRng) -> Persist {
         let mut persist = Persist::default();
         let mut term = self.hard.term;
         let mut last = self.last();
-        match numbers.below(10) {
+        match rng.below(10) {
             0 => {
                 term = term.next();
                 persist.hard_state = Some(HardState {
                     term,
-                    vote: Some(ReplicaId(numbers.next().into())),
+                    vote: Some(ReplicaId(rng.next().into())),
                     ..self.hard.clone()
                 });
             }
             1 if !self.records.is_empty() => {
                 term = term.next();
-                let dropped = 1 + numbers.below(self.records.len().min(6)) as u64;
+                let dropped = 1 + rng.below(self.records.len().min(6)) as u64;
                 last -= dropped;
                 persist.truncate_from = Some(LogIndex(last + 1));
                 persist.hard_state = Some(HardState {
@@ -92,12 +93,12 @@
                 });
             }
             2 if !self.records.is_empty() => {
-                let record = &self.records[numbers.below(self.records.len())];
+                let record = &self.records[rng.below(self.records.len())];
                 persist.snapshot = Some(snapshot(record.index, record.term));
             }
             3 => {
                 term = term.next();
-                last += numbers.below(4) as u64;
+                last += rng.below(4) as u64;
                 last = last.max(self.start() + 1);
                 persist.truncate_from = Some(LogIndex(last + 1));
                 persist.snapshot = Some(snapshot(LogIndex(last), term));
@@ -108,8 +109,8 @@
             }
             _ => {}
         }
-        for index in last + 1..=last + numbers.below(4) as u64 {
-            let data = vec![7; numbers.below(90)];
+        for index in last + 1..=last + rng.below(4) as u64 {
+            let data = vec![7; rng.below(90)];
             persist.records.push(record(index, term, data));
         }
         persist
@@ -137,31 +138,31 @@
     }
 }
 
-fn open(files: &MemoryFiles, numbers: &mut Numbers) -> Result<(Store, Recovered), StoreError> {
-    let random = || (u128::from(numbers.next()) << 64) | u128::from(numbers.next());
+fn open(files: &MemoryFiles, rng: &mut SeededRng) -> Result<(Store, Recovered), StoreError> {
+    let random = || (u128::from(rng.next()) << 64) | u128::from(rng.next());
     let (mut store, recovered) = Store::open_files(Box::new(files.clone()), random)?;
-    // Small segments, so that the crash points include the start and removal of segments.
+    // With small segments, the crash points include the creation and removal of segments.
     store.set_segment_bytes(400);
     Ok((store, recovered))
 }
 
-/// Writes until `writes` are done or the process stops. Returns the state before and after the
-/// write that was cut short, which are equal if none was.
-fn run(files: &MemoryFiles, writes: usize, seed: u64) -> (Model, Model) {
-    let mut numbers = Numbers(seed);
+/// Performs `writes` writes, or fewer if the process stops. Returns the expected states before and
+/// after the interrupted write; they are equal if none was interrupted.
+fn write_until_stopped(files: &MemoryFiles, writes: usize, seed: u64) -> (Model, Model) {
+    let mut rng = SeededRng(seed);
     let mut model = Model::default();
-    let Ok((mut store, recovered)) = open(files, &mut numbers) else {
+    let Ok((mut store, recovered)) = open(files, &mut rng) else {
         return (model.clone(), model);
     };
     model.hard = recovered.hard_state;
     for _ in 0..writes {
-        let persist = model.next_write(&mut numbers);
+        let persist = model.next_write(&mut rng);
         let before = model.clone();
         model.apply(&persist);
         if store.persist(&persist).is_err() {
             assert!(
                 matches!(store.sync(), Err(StoreError::Unusable)),
-                "a store must refuse all work after a failed write or sync"
+                "a store must refuse all operations after a failed write or sync"
             );
             return (before, model);
         }
@@ -169,18 +170,18 @@
     (model.clone(), model)
 }
 
-/// Checks that the folder holds every synced change and nothing that was never written.
-fn check(recovered: &Recovered, before: &Model, after: &Model) {
+/// Checks that the recovered state has every synced change and nothing that was never written.
+fn check_recovered(recovered: &Recovered, before: &Model, after: &Model) {
     let hard = (recovered.hard_state.term, recovered.hard_state.vote);
     let known = [before, after].map(|model| (model.hard.term, model.hard.vote));
     assert!(
         known.contains(&hard),
-        "term and vote: {hard:?}, not in {known:?}"
+        "recovered term and vote {hard:?}, expected one of {known:?}"
     );
     let snapshots = [&before.snapshot, &after.snapshot];
     assert!(
         snapshots.contains(&&recovered.snapshot),
-        "a snapshot that was never written"
+        "recovered a snapshot that was never written"
     );
     let start = recovered
         .snapshot
@@ -192,69 +193,71 @@
     };
     let (old, new) = (after_start(before), after_start(after));
     let found = &recovered.records;
-    let shared = old.iter().zip(&new).take_while(|(a, b)| a == b).count();
+    let common = old.iter().zip(&new).take_while(|(a, b)| a == b).count();
     let replaced = recovered.snapshot != before.snapshot && !old.is_empty() && new.is_empty();
     assert!(
-        replaced || found.len() >= shared,
+        replaced || found.len() >= common,
         "a synced record is missing"
     );
     assert!(
         old.starts_with(found) || new.starts_with(found),
-        "a record that was never written: found {found:?}, old {old:?}, new {new:?}"
+        "recovered a record that was never written: found {found:?}, old {old:?}, new {new:?}"
     );
 }
 
-/// Stops at `operation`, crashes and checks the recovery, also when it is stopped in turn.
-fn crash_at(operation: u64, writes: usize, seed: u64) {
+/// Stops at `operation`, crashes and checks the recovery, which is itself interrupted three times.
+fn check_crash_at(operation: u64, writes: usize, seed: u64) {
     let files = MemoryFiles::new();
     files.stop_at(operation);
-    let (before, after) = run(&files, writes, seed);
-    let mut choice = Numbers(operation ^ seed);
-    let mut files = files.crash(|limit| choice.below(limit));
+    let (before, after) = write_until_stopped(&files, writes, seed);
+    let mut rng = SeededRng(operation ^ seed);
+    let mut files = files.crash(|limit| rng.below(limit));
     for stop in 1..4 {
         files.stop_at(files.operations() + stop);
-        let _ = open(&files, &mut choice);
-        files = files.crash(|limit| choice.below(limit));
+        let _ = open(&files, &mut rng);
+        files = files.crash(|limit| rng.below(limit));
     }
-    let (mut store, recovered) = open(&files, &mut choice).expect("a crash leaves a whole folder");
-    check(&recovered, &before, &after);
+    let (mut store, recovered) =
+        open(&files, &mut rng).expect("a folder can be opened after a crash");
+    check_recovered(&recovered, &before, &after);
     let mut model = Model {
         hard: recovered.hard_state,
         snapshot: recovered.snapshot,
         records: recovered.records,
     };
-    let persist = model.next_write(&mut choice);
+    let persist = model.next_write(&mut rng);
     store
         .persist(&persist)
-        .expect("a recovered folder can be written");
+        .expect("a recovered folder can be written to");
     model.apply(&persist);
     let files = files.crash(|_| 0);
-    let (_, recovered) = open(&files, &mut choice).expect("the folder is whole");
-    check(&recovered, &model, &model);
+    let (_, recovered) =
+        open(&files, &mut rng).expect("a folder can be opened after a second crash");
+    check_recovered(&recovered, &model, &model);
 }
 
-/// Guards against a crash point at which a synced change is lost, an unwritten one appears, or the
-/// folder can't be opened.
+/// Guards against a crash point after which a synced change is lost, a change appears that was
+/// never written, or the folder can't be opened.
 #[test]
 fn recovers_from_a_crash_at_each_operation() {
     for seed in 0..6 {
         let files = MemoryFiles::new();
-        run(&files, 40, seed);
+        write_until_stopped(&files, 40, seed);
         for operation in 1..=files.operations() {
-            crash_at(operation, 40, seed);
+            check_crash_at(operation, 40, seed);
         }
     }
 }
 
-/// Guards against recovery that works only for short logs.
+/// Guards against a recovery that works only for short logs.
 #[test]
-fn recovers_from_a_crash_after_a_thousand_changes() {
+fn recovers_from_a_crash_after_a_thousand_writes() {
     let seed = 1;
     let files = MemoryFiles::new();
-    run(&files, 1_000, seed);
+    write_until_stopped(&files, 1_000, seed);
     let end = files.operations();
     for operation in end - 40..=end + 1 {
-        crash_at(operation, 1_000, seed);
+        check_crash_at(operation, 1_000, seed);
     }
 }
 
@@ -262,16 +265,16 @@
     #![proptest_config(ProptestConfig {
         rng_seed: RngSeed::Fixed(1), cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against sequences of writes that the fixed seeds don't reach.
+    /// Covers sequences of writes that the fixed seeds above don't reach.
     #[test]
     fn recovers_from_any_crash(seed: u64, operation in 1..300_u64) {
-        crash_at(operation, 80, seed);
+        check_crash_at(operation, 80, seed);
     }
 }
 
-fn synced_records(count: u64) -> MemoryFiles {
+fn folder_with_synced_records(count: u64) -> MemoryFiles {
     let files = MemoryFiles::new();
-    let (mut store, _) = open(&files, &mut Numbers(9)).unwrap();
+    let (mut store, _) = open(&files, &mut SeededRng(9)).unwrap();
     store.set_segment_bytes(1 << 20);
     for index in 1..=count {
         store
@@ -282,9 +285,9 @@
     files.crash(|_| 0)
 }
 
-/// Guards against serving from a damaged log or identity instead of refusing it.
+/// Guards against opening a folder whose log, identity or hard state is damaged.
 #[test]
-fn refuses_damage() {
+fn refuses_damaged_files() {
     let cases = [
         ("identity", 10),
         ("identity", 0),
@@ -296,9 +299,9 @@
         ("log-00000000000000000001", 300),
     ];
     for (name, offset) in cases {
-        let files = synced_records(20);
+        let files = folder_with_synced_records(20);
         files.damage(name, offset);
-        let error = open(&files, &mut Numbers(2))
+        let error = open(&files, &mut SeededRng(2))
             .err()
             .expect("damage must be refused");
         match error {
@@ -306,79 +309,86 @@
                 file, offset: at, ..
             } => {
                 assert_eq!(file, name);
-                assert!(at <= offset as u64, "{name}: {at} lies after {offset}");
+                assert!(
+                    at <= offset as u64,
+                    "{name}: reported offset {at} is after the damage at {offset}"
+                );
             }
-            other => panic!("{name} at {offset}: {other}"),
+            other => panic!("{name} damaged at {offset}: unexpected error: {other}"),
         }
     }
 }
 
-/// Guards against a torn last write that stops the replica from starting, at each length.
+/// Guards against a torn last write, of any length, that prevents the replica from starting.
 #[test]
-fn cuts_a_torn_tail() {
-    let whole = synced_records(4).read("log-00000000000000000001").unwrap();
-    let shorter = synced_records(3).read("log-00000000000000000001").unwrap();
+fn truncates_a_torn_tail() {
+    let whole = folder_with_synced_records(4)
+        .read("log-00000000000000000001")
+        .unwrap();
+    let shorter = folder_with_synced_records(3)
+        .read("log-00000000000000000001")
+        .unwrap();
     for length in shorter.len()..whole.len() {
-        let mut files = synced_records(3);
+        let mut files = folder_with_synced_records(3);
         files
             .append("log-00000000000000000001", &whole[shorter.len()..length])
             .unwrap();
         files.sync("log-00000000000000000001").unwrap();
-        let (_, recovered) = open(&files, &mut Numbers(2)).expect("a torn tail is cut");
+        let (_, recovered) = open(&files, &mut SeededRng(2)).expect("a torn tail is truncated");
         assert_eq!(recovered.records.len(), 3, "length {length}");
     }
 }
 
-/// Guards against reading a newer format as if it were known.
+/// Guards against decoding a newer file format as if it were the current one.
 #[test]
 fn refuses_a_newer_version() {
     for name in ["identity", "hard-state", "log-00000000000000000001"] {
-        let mut files = synced_records(2);
+        let mut files = folder_with_synced_records(2);
         let mut data = files.read(name).unwrap();
         data[5] = 2;
         files.create(name, &data).unwrap();
-        let error = open(&files, &mut Numbers(2))
+        let error = open(&files, &mut SeededRng(2))
             .err()
-            .expect("a newer version is refused");
+            .expect("a newer version must be refused");
         assert!(matches!(error, StoreError::NewerVersion { file, version: 2 } if file == name));
     }
 }
 
-/// Guards against a replica that forgets its votes when a file goes missing.
+/// Guards against a replica that starts without its earlier votes because a file is missing.
 #[test]
 fn refuses_a_log_without_hard_state() {
     for name in ["identity", "hard-state"] {
-        let mut files = synced_records(2);
+        let mut files = folder_with_synced_records(2);
         files.remove(name).unwrap();
         assert!(matches!(
-            open(&files, &mut Numbers(2)),
+            open(&files, &mut SeededRng(2)),
             Err(StoreError::Damaged { .. })
         ));
     }
 }
 
 /// Guards against two processes that write to one folder, and against differences between the
-/// files of the system and those in memory.
+/// operating system's files and the in-memory files of the other tests.
 #[test]
-fn keeps_a_real_folder_to_one_process() {
+fn os_folder_is_locked_by_one_process() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("data");
     let (mut store, first) = Store::open(&path).unwrap();
-    let mut numbers = Numbers(4);
+    let mut rng = SeededRng(4);
     let mut model = Model {
         hard: first.hard_state,
         ..Model::default()
     };
     store.set_segment_bytes(400);
     for _ in 0..60 {
-        let persist = model.next_write(&mut numbers);
+        let persist = model.next_write(&mut rng);
         store.persist(&persist).unwrap();
         model.apply(&persist);
     }
     assert!(matches!(Store::open(&path), Err(StoreError::Locked)));
     drop(store);
     assert!(
-        RealFiles::new(&path)
+        OsFiles::new(&path)
             .unwrap()
             .list()
             .unwrap()
@@ -386,5 +396,5 @@
     );
     let (_store, second) = Store::open(&path).unwrap();
     assert_eq!(second.replica, first.replica);
-    check(&second, &model, &model);
+    check_recovered(&second, &model, &model);
 }
