--- a/crates/auburnbridge_peer/examples/round_trip.rs
+++ b/crates/auburnbridge_peer/examples/round_trip.rs
@@ -1,4 +1,5 @@
-//! Measures calls of 200 bytes on loopback: round-trip time, and calls per second with 64 in flight.
+//! Measures calls with 200-byte bodies on loopback: the round-trip time of single calls, and the
+//! calls per second with 64 in flight.
 //!
 //! Run it with `cargo run --release -p auburnbridge_peer --example round_trip`.
 
--- a/crates/auburnbridge_peer/src/budget.rs
+++ b/crates/auburnbridge_peer/src/budget.rs
@@ -1,21 +1,21 @@
-//! Memory for the calls that a server has received and not yet answered.
+//! Memory budget for the calls that a server has received and not yet handled.
 //!
-//! The limits per message and per connection multiply with the number of clients, so a server bounds
-//! the sum as well. A call that doesn't fit is refused before its body is read.
+//! The limits per message and per connection multiply with the number of clients, so a server also
+//! limits the total. A call over the budget is refused before its body is read.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use auburnbridge_types::ByteSize;
 
-/// Bytes that are in use, out of a limit.
+/// Counter of reserved bytes with a limit.
 #[derive(Debug)]
 pub(crate) struct Budget {
     used: AtomicU64,
     limit: ByteSize,
 }
 
-/// Part of a budget, which returns to it when this is dropped.
+/// Reserved part of a budget, released on drop.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     budget: Arc<Budget>,
@@ -30,7 +30,7 @@
         })
     }
 
-    /// Takes `size` from the budget, or nothing when that is more than what is left.
+    /// Reserves `size`; `None` if less than that is left.
     pub(crate) fn reserve(self: &Arc<Self>, size: ByteSize) -> Option<Reservation> {
         self.used
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |used| {
--- a/crates/auburnbridge_peer/src/certificate.rs
+++ b/crates/auburnbridge_peer/src/certificate.rs
@@ -1,5 +1,5 @@
-//! The certificate of the other side of an open connection, which is checked again as time passes
-//! and as keys are replaced.
+//! Certificate of the peer on an open connection, checked again periodically and after the keys of
+//! this process were replaced.
 
 use std::sync::Arc;
 
@@ -11,21 +11,23 @@
 use crate::PeerIdentity;
 use crate::keys::{KeyRing, Keys};
 
-/// Interval between the checks of a certificate that was valid at the last one. A check costs two
-/// signature verifications, which is too much for every call.
+/// Time after which a certificate is checked again. A check takes two signature verifications, too
+/// expensive for every call.
 const CHECK_INTERVAL: Millis = Millis(60_000);
 
-/// Certificate of a connected peer.
+/// Certificate chain of a connected peer, with the identity in its leaf.
 pub(crate) struct PeerCertificate {
     identity: PeerIdentity,
     chain: Vec<CertificateDer<'static>>,
-    /// The keys and the time of the last check.
-    checked: Mutex<(Arc<Keys>, Timestamp)>,
+    /// Keys and time of the last successful check.
+    last_check: Mutex<(Arc<Keys>, Timestamp)>,
 }
 
 impl PeerCertificate {
-    /// Reads the certificate that the handshake has checked with `keys`.
-    pub(crate) fn of(
+    /// Reads the certificate that the TLS handshake verified with `keys`.
+    ///
+    /// Fails if the peer sent no certificate or the certificate states no identity.
+    pub(crate) fn from_connection(
         connection: &Connection,
         keys: Arc<Keys>,
         now: Timestamp,
@@ -35,12 +37,12 @@
             .and_then(|identity| identity.downcast::<Vec<CertificateDer<'static>>>().ok())
             .map(|chain| *chain)
             .unwrap_or_default();
-        let first = chain.first().ok_or_else(|| "no certificate".to_owned())?;
-        let identity = PeerIdentity::from_certificate(first)?;
+        let leaf = chain.first().ok_or_else(|| "no certificate".to_owned())?;
+        let identity = PeerIdentity::from_certificate(leaf)?;
         Ok(Self {
             identity,
             chain,
-            checked: Mutex::new((keys, now)),
+            last_check: Mutex::new((keys, now)),
         })
     }
 
@@ -48,18 +50,19 @@
         &self.identity
     }
 
-    /// Checks the certificate when the keys were replaced or the last check is long ago.
+    /// Verifies the certificate if the keys were replaced or [`CHECK_INTERVAL`] has passed since
+    /// the last check.
     pub(crate) fn check(&self, ring: &KeyRing, now: Timestamp) -> Result<(), webpki::Error> {
         let keys = ring.current();
-        let mut checked = self.checked.lock();
-        let (checked_with, checked_at) = &*checked;
-        // A clock that was set back must not postpone the check.
-        let is_recent = now >= *checked_at && now.since(*checked_at) < CHECK_INTERVAL;
-        if is_recent && Arc::ptr_eq(checked_with, &keys) {
+        let mut last_check = self.last_check.lock();
+        let (last_keys, last_time) = &*last_check;
+        // A clock that was set back must not delay the check.
+        let is_recent = now >= *last_time && now.since(*last_time) < CHECK_INTERVAL;
+        if is_recent && Arc::ptr_eq(last_keys, &keys) {
             return Ok(());
         }
         keys.verify(&self.chain, now)?;
-        *checked = (keys, now);
+        *last_check = (keys, now);
         Ok(())
     }
 }
--- a/crates/auburnbridge_peer/src/client.rs
+++ b/crates/auburnbridge_peer/src/client.rs
@@ -1,4 +1,4 @@
-//! The sending side: one link per peer, which connects on demand.
+//! Client side: one link per peer, which connects on demand.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
@@ -22,25 +22,26 @@
 use crate::wire::{self, FrameError};
 use crate::{DropReason, Event, PeerAddress, PeerError, Transport, tls};
 
-/// Time without use after which a link may be dropped.
+/// Time since its last use after which a link may be removed.
 const LINK_IDLE: Millis = Millis(60_000);
 
-/// Transport over QUIC. Dropping it ends its connections.
+/// Transport over QUIC. Dropping it closes its connections.
 pub struct PeerTransport {
     connector: Arc<Connector>,
-    /// Lock order: this table before a link's own locks.
+    /// Lock order: this map before the locks of a link.
     links: Mutex<HashMap<PeerAddress, LinkHandle>>,
 }
 
 struct LinkHandle {
     link: Arc<Link>,
-    /// Wakes the link's sending task, which ends when this is dropped.
+    /// Wakes the task that sends the link's messages; the task ends when all senders are dropped.
     wake: Sender<()>,
     used_at: Timestamp,
 }
 
 impl PeerTransport {
-    /// Creates a transport that presents `keys`; it connects with the first call or message.
+    /// Creates a transport that authenticates with `keys`. It connects to a peer on the first call
+    /// or message.
     pub fn new(keys: Arc<KeyRing>, options: Options) -> Self {
         Self {
             connector: Arc::new(Connector {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Closes all connections and waits until the other sides were told.
+    /// Closes all connections and waits until the peers are notified.
     pub async fn close(&self) {
         self.links.lock().clear();
         for endpoint in self.connector.close() {
@@ -82,7 +83,7 @@
         .await
     }
 
-    /// The link to a peer, created on its first use.
+    /// Returns the link to a peer and creates it on its first use.
     fn link(&self, to: &PeerAddress) -> (Arc<Link>, Sender<()>) {
         let now = self.connector.options.clock.now();
         let mut links = self.links.lock();
@@ -90,11 +91,11 @@
             handle.used_at = now;
             return (Arc::clone(&handle.link), handle.wake.clone());
         }
-        // Addresses change as VMs are replaced, so links that nobody uses are dropped here.
+        // Addresses change as VMs are replaced, so unused links are removed.
         links.retain(|_, handle| now.since(handle.used_at) < LINK_IDLE);
         let link = Arc::new(Link::new(to.clone(), Arc::clone(&self.connector)));
-        let (wake, woken) = async_channel::bounded(1);
-        task::spawn(send_messages(Arc::clone(&link), woken));
+        let (wake, wake_ups) = async_channel::bounded(1);
+        task::spawn(send_messages(Arc::clone(&link), wake_ups));
         links.insert(
             to.clone(),
             LinkHandle {
@@ -145,12 +146,12 @@
             self.connector
                 .report_dropped(to, dropped, DropReason::QueueFull);
         }
-        // A full channel holds a wake-up that the sending task has not taken yet.
+        // If the channel is full, the sending task already has a pending wake-up.
         let _ = wake.try_send(());
     }
 }
 
-/// How far a call has come, which decides what its timeout means.
+/// Progress of a call, which decides the error after a timeout.
 #[derive(Default)]
 struct CallPhase(AtomicU8);
 
@@ -174,16 +175,16 @@
     }
 }
 
-/// Opens connections with the keys in force.
+/// Opens connections with the current keys.
 struct Connector {
     keys: Arc<KeyRing>,
     options: Options,
-    /// TLS configuration made from these keys.
+    /// TLS configuration and the keys it was built from.
     config: Mutex<Option<(Arc<Keys>, ClientConfig)>>,
     endpoints: Mutex<Endpoints>,
 }
 
-/// Sockets of outgoing connections, one per address family.
+/// Endpoints of outgoing connections, one per address family.
 #[derive(Default)]
 struct Endpoints {
     ipv4: Option<Endpoint>,
@@ -191,7 +192,7 @@
     closed: bool,
 }
 
-/// An open connection, the keys that it was opened with and the certificate of the peer.
+/// An open connection, the keys it was opened with and the certificate of the peer.
 struct OpenConnection {
     connection: Connection,
     keys: Arc<Keys>,
@@ -208,10 +209,10 @@
             .await
             .map_err(|error| connect_error(&error))?;
         await_greeting(&connection).await?;
-        // Closing the connection before the server has finished its handshake would leave the
-        // server waiting for its idle timeout.
+        // The certificate is checked only after the greeting: closing the connection before the
+        // server has finished the handshake would leave the server waiting for its idle timeout.
         let now = self.options.clock.now();
-        let certificate = PeerCertificate::of(&connection, Arc::clone(&keys), now)
+        let certificate = PeerCertificate::from_connection(&connection, Arc::clone(&keys), now)
             .map_err(|reason| PeerError::Rejected { reason })
             .and_then(|certificate| verify_vm(certificate, to))
             .inspect_err(|error| {
@@ -232,12 +233,12 @@
         let current = self.keys.current();
         let mut config = self.config.lock();
         match &*config {
-            Some((keys, made)) if Arc::ptr_eq(keys, &current) => Ok((current, made.clone())),
+            Some((keys, built)) if Arc::ptr_eq(keys, &current) => Ok((current, built.clone())),
             _ => {
-                let made = tls::client_config(&current, &self.options)
+                let built = tls::client_config(&current, &self.options)
                     .map_err(|reason| PeerError::Rejected { reason })?;
-                *config = Some((Arc::clone(&current), made.clone()));
-                Ok((current, made))
+                *config = Some((Arc::clone(&current), built.clone()));
+                Ok((current, built))
             }
         }
     }
@@ -247,7 +248,7 @@
         if endpoints.closed {
             return Err(PeerError::Closed);
         }
-        let (slot, any): (_, SocketAddr) = if to.is_ipv4() {
+        let (slot, unspecified): (_, SocketAddr) = if to.is_ipv4() {
             (&mut endpoints.ipv4, (Ipv4Addr::UNSPECIFIED, 0).into())
         } else {
             (&mut endpoints.ipv6, (Ipv6Addr::UNSPECIFIED, 0).into())
@@ -255,7 +256,7 @@
         if let Some(endpoint) = slot {
             return Ok(endpoint.clone());
         }
-        let socket = UdpSocket::bind(any).map_err(unreachable)?;
+        let socket = UdpSocket::bind(unspecified).map_err(unreachable)?;
         let config = EndpointConfig::default();
         let endpoint =
             Endpoint::new(config, None, socket, Arc::new(AsyncStdRuntime)).map_err(unreachable)?;
@@ -277,7 +278,7 @@
     }
 }
 
-/// Refuses a process whose certificate is for another VM than the expected one.
+/// Rejects a peer whose certificate is not for the expected VM.
 fn verify_vm(certificate: PeerCertificate, to: &PeerAddress) -> Result<PeerCertificate, PeerError> {
     let identity = certificate.identity();
     if identity.vm == to.vm {
@@ -288,10 +289,10 @@
     })
 }
 
-/// Waits until the server has accepted the certificate of this process.
+/// Waits for the greeting, which the server sends after it has accepted this process's certificate.
 ///
 /// The handshake ends earlier for the client than for the server. Without this wait, a call could
-/// go out on a connection that the server then refuses, and its outcome would be unknown.
+/// be sent on a connection that the server then refuses, and its delivery would be unknown.
 async fn await_greeting(connection: &Connection) -> Result<(), PeerError> {
     let mut stream = connection
         .accept_uni()
@@ -303,7 +304,7 @@
         .map_err(unreachable)?;
     if greeting != wire::GREETING {
         return Err(PeerError::Rejected {
-            reason: format!("the peer speaks another version: {greeting:?}"),
+            reason: format!("the peer uses another version of the stream layout: {greeting:?}"),
         });
     }
     Ok(())
@@ -315,7 +316,7 @@
     }
 }
 
-/// Tells a refused certificate from an address where nothing answers.
+/// Distinguishes a rejected handshake from an unreachable peer.
 fn connect_error(error: &ConnectionError) -> PeerError {
     // RFC 9001 section 4.8: TLS alerts are transport error codes from 0x100 to 0x1ff.
     const CRYPTO_ERRORS: std::ops::RangeInclusive<u64> = 0x100..=0x1ff;
@@ -339,12 +340,12 @@
     }
 }
 
-/// The way to one peer.
+/// Connection state and message queue of one peer.
 struct Link {
     to: PeerAddress,
     connector: Arc<Connector>,
     state: Mutex<LinkState>,
-    /// Held during an attempt to connect, so that there is one at a time.
+    /// Held during an attempt to connect, so that only one runs at a time.
     connecting: async_lock::Mutex<()>,
     queue: Mutex<SendQueue>,
 }
@@ -353,7 +354,7 @@
     Idle,
     Open(OpenConnection),
     Failed {
-        /// The keys of the failed attempt; with others, the next attempt is due at once.
+        /// Keys of the failed attempt. After they are replaced, the backoff no longer applies.
         keys: Arc<Keys>,
         error: PeerError,
         at: Timestamp,
@@ -374,7 +375,7 @@
         }
     }
 
-    /// The open connection, the error of a recent attempt, or `None` when it is time to connect.
+    /// The open connection, or the last error during the backoff; `None` if a new attempt is due.
     fn known_state(&self) -> Option<Result<Connection, PeerError>> {
         let now = self.connector.options.clock.now();
         match &*self.state.lock() {
@@ -392,18 +393,18 @@
                 backoff,
             } => {
                 let has_same_keys = Arc::ptr_eq(keys, &self.connector.keys.current());
-                // A clock that was set back must not prolong the wait.
-                let waits = has_same_keys && now >= *at && now.since(*at) < *backoff;
-                waits.then(|| Err(error.clone()))
+                // A clock that was set back must not prolong the backoff.
+                let is_backing_off = has_same_keys && now >= *at && now.since(*at) < *backoff;
+                is_backing_off.then(|| Err(error.clone()))
             }
             LinkState::Idle => None,
         }
     }
 
-    /// The open connection, or a new one.
+    /// Returns the open connection or opens a new one.
     ///
-    /// The attempt to connect runs in a task of its own, so that a caller with a short timeout
-    /// doesn't cut it off for the others.
+    /// The attempt to connect runs in its own task, so a call with a short timeout doesn't cancel
+    /// it for the other calls.
     async fn connection(self: &Arc<Self>) -> Result<Connection, PeerError> {
         if let Some(known) = self.known_state() {
             return known;
@@ -412,7 +413,7 @@
     }
 
     async fn connect(self: Arc<Self>) -> Result<Connection, PeerError> {
-        let _turn = self.connecting.lock().await;
+        let _connecting_guard = self.connecting.lock().await;
         if let Some(known) = self.known_state() {
             return known;
         }
@@ -475,17 +476,17 @@
     ) -> Result<Vec<u8>, PeerError> {
         let mut connection = self.connection().await?;
         phase.enter(CallPhase::WAITING_FOR_STREAM);
-        let opened = if let Ok(opened) = connection.open_bi().await {
-            opened
+        let streams = if let Ok(streams) = connection.open_bi().await {
+            streams
         } else {
-            // The connection broke before anything was sent, so another attempt is safe.
+            // The connection was lost before the call was sent, so a retry is safe.
             phase.enter(CallPhase::CONNECTING);
             connection = self.connection().await?;
             phase.enter(CallPhase::WAITING_FOR_STREAM);
             connection.open_bi().await.map_err(unreachable)?
         };
         phase.enter(CallPhase::SENT);
-        let (mut send, mut recv) = opened;
+        let (mut send, mut recv) = streams;
         let size = ByteSize(body.len() as u64);
         write_call(&mut send, body).await?;
         let limit = self.connector.options.message_limit;
@@ -498,7 +499,8 @@
         self.queue.lock().pop()
     }
 
-    /// Writes a message to the stream of one-way messages, which is opened on each new connection.
+    /// Writes a message to the stream of one-way messages, which is opened once per connection.
+    /// `stream` holds the id of the connection and its stream.
     async fn send_message(
         self: &Arc<Self>,
         stream: &mut Option<(usize, SendStream)>,
@@ -506,7 +508,7 @@
     ) -> Result<(), PeerError> {
         let connection = self.connection().await?;
         let current = match stream.take() {
-            Some((id, current)) if id == connection.stable_id() => current,
+            Some((id, open)) if id == connection.stable_id() => open,
             _ => open_message_stream(&connection).await?,
         };
         let (_, current) = stream.insert((connection.stable_id(), current));
@@ -516,22 +518,24 @@
     }
 }
 
-/// Opens the stream of one-way messages, which goes ahead of the bodies of calls.
+/// Opens the stream of one-way messages, with a higher priority than the streams of calls.
 async fn open_message_stream(connection: &Connection) -> Result<SendStream, PeerError> {
-    const AHEAD_OF_CALLS: i32 = 1;
+    const PRIORITY_ABOVE_CALLS: i32 = 1;
     let stream = connection.open_uni().await.map_err(unreachable)?;
-    stream.set_priority(AHEAD_OF_CALLS).map_err(unreachable)?;
+    stream
+        .set_priority(PRIORITY_ABOVE_CALLS)
+        .map_err(unreachable)?;
     Ok(stream)
 }
 
 async fn write_call(send: &mut SendStream, body: Vec<u8>) -> Result<(), PeerError> {
     match wire::write_frame(send, body).await {
         Ok(()) => {
-            // It fails only for a stream that was finished or reset, which this one was not.
+            // `finish` fails only for a stream that is already finished or reset.
             let _ = send.finish();
             Ok(())
         }
-        // The peer has answered or refused without reading to the end; the reply tells which.
+        // The peer answered or refused the call without reading to the end; the reply tells which.
         Err(WriteError::Stopped(_)) => Ok(()),
         Err(error) => Err(connection_lost(error)),
     }
@@ -563,16 +567,16 @@
     }
 }
 
-/// Sends the queued messages of a link until its handle is dropped.
-async fn send_messages(link: Arc<Link>, woken: Receiver<()>) {
+/// Sends the queued messages of a link until its wake-up channel is closed.
+async fn send_messages(link: Arc<Link>, wake_ups: Receiver<()>) {
     let mut stream = None;
-    while woken.recv().await.is_ok() {
+    while wake_ups.recv().await.is_ok() {
         while let Some(message) = link.next_message() {
             if link.send_message(&mut stream, message).await.is_ok() {
                 continue;
             }
             stream = None;
-            // What has waited during the failed attempt is stale by now.
+            // The messages that were queued during the failed attempt are outdated by now.
             let dropped = 1 + link.queue.lock().clear();
             link.connector
                 .report_dropped(&link.to, dropped, DropReason::SendFailed);
--- a/crates/auburnbridge_peer/src/codec.rs
+++ b/crates/auburnbridge_peer/src/codec.rs
@@ -1,7 +1,7 @@
 //! Encoding of messages: a format version in one byte, then the postcard encoding of the value.
 //!
-//! The version names the layout of all messages together. A process decodes its own version only: a
-//! newer one is refused by name, so that an operator sees which process lags behind.
+//! One version covers the layout of all messages. A process decodes only its own version; the error
+//! for any other version tells an operator which process to upgrade.
 
 use auburnbridge_types::ByteSize;
 use serde::Serialize;
@@ -10,7 +10,7 @@
 /// Version of the message layout that this build writes and reads.
 pub const FORMAT_VERSION: u8 = 1;
 
-/// Reason why a message can't be encoded or decoded.
+/// Error of encoding or decoding a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CodecError {
     /// The message is longer than the limit.
@@ -20,16 +20,16 @@
         /// The limit.
         limit: ByteSize,
     },
-    /// The message has no format version.
+    /// The message is empty, without a format version.
     Empty,
-    /// The message was written by another version.
+    /// The message has another format version than [`FORMAT_VERSION`].
     Version {
-        /// The version of the message.
+        /// Format version of the message.
         found: u8,
     },
-    /// The message does not hold a value of the expected type.
+    /// The message is not a valid encoding of the expected type.
     Malformed(String),
-    /// The message goes on after the value.
+    /// The message has more bytes after the value.
     TrailingBytes {
         /// Number of bytes after the value.
         count: usize,
@@ -61,7 +61,7 @@
 
 impl std::error::Error for CodecError {}
 
-/// Encodes `value`, refusing a message over `limit`.
+/// Encodes `value`; fails if the message is longer than `limit`.
 pub fn encode<T: Serialize>(value: &T, limit: ByteSize) -> Result<Vec<u8>, CodecError> {
     let buf = postcard::to_extend(value, vec![FORMAT_VERSION])
         .map_err(|error| CodecError::Malformed(error.to_string()))?;
@@ -69,7 +69,8 @@
     Ok(buf)
 }
 
-/// Decodes a whole message, refusing one over `limit` before it is read.
+/// Decodes a message, which must be a single value. A message over `limit` is refused before it is
+/// decoded.
 pub fn decode<T: DeserializeOwned>(message: &[u8], limit: ByteSize) -> Result<T, CodecError> {
     check_size(message, limit)?;
     let (&version, encoded) = message.split_first().ok_or(CodecError::Empty)?;
--- a/crates/auburnbridge_peer/src/error.rs
+++ b/crates/auburnbridge_peer/src/error.rs
@@ -1,17 +1,17 @@
-//! The closed list of reasons why a call failed.
+//! Errors of calls.
 
 use auburnbridge_types::ByteSize;
 use strum::{Display, IntoStaticStr};
 
-/// What is certain about the arrival of a failed call.
+/// Whether the peer's handler received a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Delivery {
-    /// The peer's handler did not get the call and will not get it.
+    /// The handler did not receive the call and will not receive it.
     NotReceived,
-    /// The peer's handler may have got the call.
+    /// The handler may have received the call.
     Unknown,
-    /// The peer's handler got the call.
+    /// The handler received the call.
     Received,
 }
 
@@ -24,34 +24,34 @@
         /// Why connecting failed.
         reason: String,
     },
-    /// A certificate was refused, by this process or by the peer.
+    /// The handshake failed: this process or the peer rejected the other's certificate or version.
     Rejected {
         /// Why the handshake failed.
         reason: String,
     },
-    /// The process at the address has a valid certificate for another VM.
+    /// The process at the address has a valid certificate, but for another VM.
     WrongPeer {
         /// Identity in the certificate.
         found: String,
     },
-    /// All streams of the connection were in use until the timeout.
+    /// All streams of the connection stayed in use until the timeout.
     Busy,
     /// The body is longer than the limit of this process or of the peer.
     TooLarge {
         /// Size of the body.
         size: ByteSize,
     },
-    /// This transport was closed.
+    /// This transport or its link to the peer was closed.
     Closed,
     /// The peer has no memory left for the call.
     Overloaded,
-    /// The peer is stopping and takes no new calls.
+    /// The peer is stopping and refuses new calls.
     Stopping,
     /// The reply did not arrive in time.
     TimedOut,
-    /// The connection broke, or the reply broke off, after the call was sent.
+    /// The connection was lost, or the reply was incomplete, after the call was sent.
     ConnectionLost {
-        /// Why the connection broke.
+        /// Why the connection was lost.
         reason: String,
     },
     /// The peer handled the call and gave no reply.
@@ -61,7 +61,7 @@
 }
 
 impl PeerError {
-    /// What is certain about the arrival of the call.
+    /// Whether the peer's handler received the call.
     pub const fn delivery(&self) -> Delivery {
         match self {
             Self::Unreachable { .. }
--- a/crates/auburnbridge_peer/src/event.rs
+++ b/crates/auburnbridge_peer/src/event.rs
@@ -1,4 +1,4 @@
-//! What the transport reports about itself, to the log and to an [`Observer`].
+//! Events of the transport, reported to the log and to an [`Observer`].
 
 use std::net::SocketAddr;
 
@@ -8,13 +8,13 @@
 
 use crate::{PeerAddress, PeerError, PeerIdentity};
 
-/// Receives the events of a transport or a server, such as to count them as metrics.
+/// Receives the events of a transport or a server, for example to count them as metrics.
 pub trait Observer: Send + Sync {
-    /// Takes note of one event. It is called on the path of calls and must not wait.
+    /// Receives one event. Called while calls are processed, so it must not block.
     fn observe(&self, event: &Event<'_>);
 }
 
-/// Observer that takes note of nothing.
+/// Observer that ignores all events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoObserver;
 
@@ -41,7 +41,7 @@
         error: &'a PeerError,
         /// Wait until the next attempt.
         backoff: Millis,
-        /// Whether the attempt before had failed too.
+        /// Whether the previous attempt failed too.
         repeated: bool,
     },
     /// A call ended.
@@ -57,7 +57,7 @@
     MessagesDropped {
         /// The peer.
         to: &'a PeerAddress,
-        /// Their number.
+        /// Number of dropped messages.
         count: usize,
         /// Why they were dropped.
         reason: DropReason,
@@ -69,25 +69,25 @@
         /// Where it connected from.
         address: SocketAddr,
     },
-    /// A server refused a connection, or closed one that it no longer accepts.
+    /// A server refused a connection, or closed one whose certificate is no longer valid.
     ClientRefused {
         /// Where it connected from.
         address: SocketAddr,
-        /// Why it was refused.
+        /// Why it was refused or closed.
         reason: &'a str,
     },
-    /// A connection that a server had accepted ended.
+    /// A connection that a server had accepted was closed.
     ClientClosed {
         /// The client.
         from: &'a PeerIdentity,
         /// Where it connected from.
         address: SocketAddr,
     },
-    /// A call, reply or one-way message over the limit was dropped by a server.
+    /// A server dropped a call, reply or one-way message over the size limit.
     OversizeDropped {
         /// The client.
         from: &'a PeerIdentity,
-        /// Which of them it was.
+        /// What was dropped.
         kind: OversizeKind,
     },
 }
@@ -96,17 +96,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum DropReason {
-    /// The message was over the limit.
+    /// The message was over the size limit.
     TooLarge,
-    /// Newer messages filled the queue.
+    /// The queue was full of newer messages.
     QueueFull,
-    /// The peer was unreachable a moment ago.
+    /// The last attempt to connect failed, and the backoff has not ended.
     Unreachable,
-    /// The connection failed before or while they were written.
+    /// Connecting or writing failed.
     SendFailed,
 }
 
-/// What was over the limit.
+/// What was over the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum OversizeKind {
@@ -119,12 +119,12 @@
 }
 
 impl Event<'_> {
-    /// Name of the event, which is the last part of its metric, such as `connect_failed`.
+    /// Name of the event, such as `connect_failed`, used as the last part of its metric name.
     pub fn name(&self) -> &'static str {
         self.into()
     }
 
-    /// How many things of this name happened.
+    /// Number to add to the event's counter.
     pub fn count(&self) -> u64 {
         match self {
             Self::MessagesDropped { count, .. } => *count as u64,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// How long it took, for events that have a duration.
+    /// Duration of the event, if it has one.
     pub fn duration(&self) -> Option<Millis> {
         match self {
             Self::Connected { duration, .. } | Self::CallEnded { duration, .. } => Some(*duration),
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Level of the log line. A peer that stays unreachable is a warning once.
+    /// Level of the log line. Only the first of several failed attempts to connect is a warning.
     fn level(&self) -> Level {
         match self {
             Self::Connected { .. } | Self::ClientAccepted { .. } | Self::ClientClosed { .. } => {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Writes the log line and informs the observer.
+    /// Logs the event and passes it to the observer.
     pub(crate) fn report(&self, observer: &dyn Observer) {
         log!(self.level(), event = self.name(); "{self}");
         observer.observe(self);
--- a/crates/auburnbridge_peer/src/identity.rs
+++ b/crates/auburnbridge_peer/src/identity.rs
@@ -1,7 +1,8 @@
-//! Identity of a process, as its certificate states it.
+//! Identity of a process, as stated in its certificate.
 //!
-//! A certificate of the fleet has two URI names: `auburnbridge:vm:NAME` and `auburnbridge:role:ROLE`.
-//! URIs are used because a VM name may hold characters that a DNS name can't.
+//! A certificate of the fleet has two URI names: `auburnbridge:vm:NAME` and
+//! `auburnbridge:role:ROLE`. They are URIs because a VM name may have characters that are not
+//! allowed in a DNS name.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -12,19 +13,19 @@
 const VM_PREFIX: &str = "auburnbridge:vm:";
 const ROLE_PREFIX: &str = "auburnbridge:role:";
 
-/// What a process does in the fleet.
+/// Role of a process in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumIter, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Role {
-    /// Serves callers.
+    /// Accepts the requests of callers.
     Entry,
-    /// Holds the replicated state.
+    /// Stores the replicated state.
     Keeper,
     /// Distributes rules.
     Relay,
 }
 
-/// The process on the other side of a connection.
+/// Identity of the process on the other side of a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PeerIdentity {
     /// Its VM.
@@ -39,12 +40,12 @@
     }
 }
 
-/// Where a process is expected.
+/// Address of a peer and the VM that it must prove to be.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PeerAddress {
-    /// The VM whose certificate must be presented.
+    /// The VM that the peer's certificate must state.
     pub vm: VmId,
-    /// Where its peer server listens.
+    /// Address on which the peer's server listens.
     pub address: SocketAddr,
 }
 
@@ -55,7 +56,7 @@
 }
 
 impl PeerAddress {
-    /// The process at `ip` in a fleet whose VMs are named by their IP addresses.
+    /// Address of the process at `ip` in a fleet whose VMs are named after their IP addresses.
     pub fn at(ip: IpAddr, port: u16) -> Self {
         Self {
             vm: ip.into(),
@@ -65,7 +66,7 @@
 }
 
 impl PeerIdentity {
-    /// The URI names that a certificate for this identity has.
+    /// URI names of a certificate for this identity.
     pub(crate) fn uri_names(&self) -> [String; 2] {
         [
             format!("{VM_PREFIX}{}", self.vm),
@@ -73,7 +74,7 @@
         ]
     }
 
-    /// Reads the identity from a certificate, which must state each part exactly once.
+    /// Reads the identity from a certificate, which must have exactly one VM and one role name.
     pub(crate) fn from_certificate(certificate: &CertificateDer<'_>) -> Result<Self, String> {
         let certificate = webpki::EndEntityCert::try_from(certificate)
             .map_err(|error| format!("the certificate can't be parsed: {error}"))?;
--- a/crates/auburnbridge_peer/src/keys/create.rs
+++ b/crates/auburnbridge_peer/src/keys/create.rs
@@ -1,4 +1,4 @@
-//! Creation of an authority and of the key files of a process.
+//! Creates a certificate authority and the key files of a process.
 
 use std::fs::{self, OpenOptions};
 use std::io::Write;
@@ -17,23 +17,25 @@
     AUTHORITY_FILE, AUTHORITY_KEY_FILE, CERTIFICATE_FILE, FLEET_NAME, KEY_FILE, KeyError, Keys,
 };
 
-/// Subject of every authority. It is constant because an issuer is rebuilt from its key and name.
+/// Subject of every authority certificate. It is constant because the issuer is rebuilt from its
+/// key and this name.
 const AUTHORITY_NAME: &str = "auburnbridge authority";
 
-/// Tolerated difference between the clocks of the issuer and of the VMs.
+/// Tolerated lag of a VM's clock behind the issuer's clock: 5 minutes.
 const CLOCK_SKEW: Millis = Millis(5 * 60 * 1_000);
 
-/// Period in which a certificate is valid.
+/// Validity period of a certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Validity {
-    /// First moment.
+    /// Start of the period.
     pub from: Timestamp,
-    /// Last moment.
+    /// End of the period.
     pub until: Timestamp,
 }
 
 impl Validity {
-    /// A period of `duration` from `now`, which begins early enough for VMs whose clocks lag.
+    /// Creates a period that ends `duration` after `now` and starts before `now`, for VMs whose
+    /// clocks lag.
     pub fn starting_at(now: Timestamp, duration: Millis) -> Self {
         Self {
             from: Timestamp(now.0.saturating_sub(CLOCK_SKEW.0)),
@@ -47,7 +49,7 @@
     }
 }
 
-/// Creates an authority in `folder`, which must not hold one.
+/// Creates an authority in `folder`. Fails if the folder already has one or can't be written.
 pub fn create_authority(folder: &Path, validity: Validity) -> Result<(), KeyError> {
     let key_path = folder.join(AUTHORITY_KEY_FILE);
     if key_path.exists() {
@@ -68,11 +70,11 @@
     )
 }
 
-/// Issues a key and a certificate for `identity`, with the authority in `authority_folder`, and
-/// writes them to `folder` together with the authority's certificates.
+/// Issues a key and a certificate for `identity`, signed by the authority in `authority_folder`,
+/// and writes them to `folder` together with the authority's certificates.
 ///
-/// Existing files are replaced one by one, each at once. A process that loads the folder in between
-/// finds a key that does not belong to the certificate and keeps the keys that it has.
+/// Existing files are replaced one after the other, each atomically. A process that loads the
+/// folder in between finds a key that does not belong to the certificate and keeps its loaded keys.
 pub fn issue(
     authority_folder: &Path,
     folder: &Path,
@@ -92,12 +94,12 @@
 
     let certificate_path = folder.join(CERTIFICATE_FILE);
     let key = generate_key(&folder.join(KEY_FILE))?;
-    let certificate = process_params(identity, validity)
+    let certificate = leaf_params(identity, validity)
         .and_then(|params| params.signed_by(&key, &issuer, &authority_key))
         .map_err(|error| KeyError::Invalid(certificate_path.clone(), error.to_string()))?;
     let key_pem = key.serialize_pem();
     let certificate_pem = certificate.pem();
-    // Finds an authority key that does not belong to the authority's certificate.
+    // Fails if the authority's key does not belong to its certificate.
     Keys::from_pem(
         folder,
         authority_pem.as_bytes(),
@@ -138,7 +140,7 @@
     params
 }
 
-fn process_params(
+fn leaf_params(
     identity: &PeerIdentity,
     validity: Validity,
 ) -> Result<CertificateParams, rcgen::Error> {
@@ -164,7 +166,8 @@
     distinguished_name
 }
 
-/// Writes a new file with `mode` from the start, then renames it over `path`.
+/// Replaces `path` atomically: creates a temporary file with `mode` and renames it. The file has
+/// `mode` from the start, so a private key is never readable by others.
 fn replace_file(path: &Path, content: &str, mode: u32) -> Result<(), KeyError> {
     let temporary = path.with_extension("pem.new");
     match fs::remove_file(&temporary) {
--- a/crates/auburnbridge_peer/src/keys/load.rs
+++ b/crates/auburnbridge_peer/src/keys/load.rs
@@ -1,4 +1,4 @@
-//! Loading and reloading of the key files of a process.
+//! Loads and reloads the key files of a process.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
 use crate::keys::{AUTHORITY_FILE, CERTIFICATE_FILE, KEY_FILE, KeyError};
 use crate::tls;
 
-/// Checked keys of a process.
+/// Verified private key, certificate chain and trusted authorities of a process.
 #[derive(Debug)]
 pub struct Keys {
     identity: PeerIdentity,
@@ -26,7 +26,7 @@
 }
 
 impl Keys {
-    /// Loads and checks the files in `folder`, as of `now`.
+    /// Loads the files in `folder` and verifies them as of `now`.
     pub fn load(folder: &Path, now: Timestamp) -> Result<Self, KeyError> {
         let read = |name: &str| {
             let path = folder.join(name);
@@ -41,7 +41,8 @@
         )
     }
 
-    /// Checks the contents of the files in `folder`, which appears in errors only.
+    /// Parses the contents of the files in `folder` and verifies them as of `now`. The path of
+    /// `folder` is only used in errors.
     pub(crate) fn from_pem(
         folder: &Path,
         authority_pem: &[u8],
@@ -96,12 +97,12 @@
         Ok(keys)
     }
 
-    /// The identity in the certificate.
+    /// Identity in the certificate.
     pub fn identity(&self) -> &PeerIdentity {
         &self.identity
     }
 
-    fn has_same_files(&self, other: &Self) -> bool {
+    fn has_same_content(&self, other: &Self) -> bool {
         self.chain == other.chain
             && self.key.secret_der() == other.key.secret_der()
             && self.authorities.roots == other.authorities.roots
@@ -113,10 +114,10 @@
         chain: &[CertificateDer<'_>],
         now: Timestamp,
     ) -> Result<(), webpki::Error> {
-        let Some((first, intermediates)) = chain.split_first() else {
+        let Some((leaf, intermediates)) = chain.split_first() else {
             return Err(webpki::Error::UnknownIssuer);
         };
-        webpki::EndEntityCert::try_from(first)?.verify_for_usage(
+        webpki::EndEntityCert::try_from(leaf)?.verify_for_usage(
             tls::provider().signature_verification_algorithms.all,
             &self.authorities.roots,
             intermediates,
@@ -129,7 +130,7 @@
     }
 }
 
-/// The keys in force, which can be replaced while the process runs.
+/// The current keys of a process, which can be replaced while it runs.
 #[derive(Debug)]
 pub struct KeyRing {
     folder: PathBuf,
@@ -137,7 +138,7 @@
 }
 
 impl KeyRing {
-    /// Loads the keys in `folder`.
+    /// Loads the keys in `folder` and verifies them as of `now`.
     pub fn load(folder: &Path, now: Timestamp) -> Result<Arc<Self>, KeyError> {
         let keys = Keys::load(folder, now)?;
         Ok(Arc::new(Self {
@@ -146,12 +147,13 @@
         }))
     }
 
-    /// Loads the folder again and returns whether the keys changed; on an error, the current keys
-    /// stay in force. Unchanged files close no connection, so a process may call this on a timer.
+    /// Reloads the folder and returns whether the keys changed. On an error, the current keys stay
+    /// in force. Unchanged files close no connection, so this can be called on a timer.
     ///
-    /// New connections use the new keys at once. A client replaces its connections with the next
-    /// call, and a server drops a client whose certificate the new authorities did not sign. The
-    /// identity must stay the same, because the process announced itself under it.
+    /// New connections use the new keys at once. A client replaces its connections on the next
+    /// call, and a server closes the connection of a client whose certificate was not signed by the
+    /// new authorities. The identity must stay the same, because the process announced itself with
+    /// it.
     pub fn reload(&self, now: Timestamp) -> Result<bool, KeyError> {
         let keys = Keys::load(&self.folder, now)?;
         let mut current = self.current.write();
@@ -164,14 +166,14 @@
                 ),
             ));
         }
-        if keys.has_same_files(&current) {
+        if keys.has_same_content(&current) {
             return Ok(false);
         }
         *current = Arc::new(keys);
         Ok(true)
     }
 
-    /// Picks up replaced files every `interval`; a folder that can't be loaded leaves the keys in
+    /// Reloads the folder every `interval`, without end. If that fails, the current keys stay in
     /// force.
     pub async fn reload_every(&self, clock: &dyn Clock, interval: Millis) {
         loop {
@@ -182,7 +184,7 @@
         }
     }
 
-    /// The keys in force.
+    /// The current keys.
     pub fn current(&self) -> Arc<Keys> {
         Arc::clone(&self.current.read())
     }
--- a/crates/auburnbridge_peer/src/keys/mod.rs
+++ b/crates/auburnbridge_peer/src/keys/mod.rs
@@ -1,10 +1,9 @@
 //! Certificates and private keys of the fleet.
 //!
-//! The fleet has an authority of its own. Each process has a folder with three PEM files:
-//! `authority.pem` (certificates of the authorities it trusts; two during the change from one
-//! authority to another), `certificate.pem` and `key.pem`. A [`KeyRing`] loads the folder, and loads
-//! it again when the files were replaced; a folder that can't be loaded leaves the loaded keys in
-//! force.
+//! The fleet has its own certificate authority. Each process has a folder with three PEM files:
+//! `authority.pem` (certificates of the trusted authorities; two while one authority replaces
+//! another), `certificate.pem` and `key.pem`. A [`KeyRing`] loads the folder, and reloads it after
+//! the files were replaced; if that fails, the loaded keys stay in force.
 
 mod create;
 mod load;
@@ -18,32 +17,32 @@
 
 /// File with the certificates of the trusted authorities.
 pub const AUTHORITY_FILE: &str = "authority.pem";
-/// File with the private key of the authority, kept by operators and not on the VMs.
+/// File with the private key of the authority. Operators keep it; it is not on the VMs.
 pub const AUTHORITY_KEY_FILE: &str = "authority-key.pem";
 /// File with the certificate of the process.
 pub const CERTIFICATE_FILE: &str = "certificate.pem";
 /// File with the private key of the process.
 pub const KEY_FILE: &str = "key.pem";
 
-/// DNS name that every certificate of the fleet has, for the name check of TLS.
+/// DNS name in every certificate of the fleet, which TLS checks instead of a host name.
 pub(crate) const FLEET_NAME: &str = "peer.auburnbridge.internal";
 
-/// Reason why keys can't be created or loaded.
+/// Error of creating or loading keys, with the path of the file.
 #[derive(Debug)]
 pub enum KeyError {
     /// The file can't be read.
     Read(PathBuf, std::io::Error),
     /// The file can't be written.
     Write(PathBuf, std::io::Error),
-    /// An authority is already there and would be overwritten.
+    /// The folder already has an authority, which would be overwritten.
     AuthorityExists(PathBuf),
-    /// The file holds no certificate or private key in PEM.
+    /// The file has no certificate or private key in PEM format.
     NoPem(PathBuf, &'static str),
     /// The content of the file can't be used.
     Invalid(PathBuf, String),
-    /// The certificate's validity is over.
+    /// The certificate has expired.
     Expired(PathBuf, Timestamp),
-    /// The certificate's validity has not begun.
+    /// The certificate is not valid yet.
     NotYetValid(PathBuf, Timestamp),
     /// The certificate was not signed by an authority in the authority file.
     WrongAuthority(PathBuf, PathBuf),
--- a/crates/auburnbridge_peer/src/options.rs
+++ b/crates/auburnbridge_peer/src/options.rs
@@ -1,4 +1,4 @@
-//! Limits and times of the transport.
+//! Limits and timeouts of the transport.
 
 use std::sync::Arc;
 
@@ -6,17 +6,17 @@
 
 use crate::event::{NoObserver, Observer};
 
-/// Limits and times of a transport and of a peer server.
+/// Limits and timeouts of a transport or a peer server.
 #[derive(Clone)]
 pub struct Options {
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) observer: Arc<dyn Observer>,
     pub(crate) message_limit: ByteSize,
     pub(crate) concurrent_calls: u32,
-    pub(crate) received_bytes: ByteSize,
+    pub(crate) call_memory_limit: ByteSize,
     pub(crate) connection_limit: usize,
     pub(crate) idle_timeout: Millis,
-    pub(crate) keep_alive: Millis,
+    pub(crate) keep_alive_interval: Millis,
     pub(crate) connect_timeout: Millis,
     pub(crate) first_backoff: Millis,
     pub(crate) last_backoff: Millis,
@@ -31,11 +31,11 @@
             observer: Arc::new(NoObserver),
             message_limit: ByteSize(4 << 20),
             concurrent_calls: 256,
-            received_bytes: ByteSize(64 << 20),
+            call_memory_limit: ByteSize(64 << 20),
             connection_limit: 8_192,
             idle_timeout: Millis(3_000),
-            // Two keep-alives may be lost before the idle timeout ends the connection.
-            keep_alive: Millis(1_000),
+            // Two keep-alive packets may be lost before the idle timeout closes the connection.
+            keep_alive_interval: Millis(1_000),
             connect_timeout: Millis(1_000),
             first_backoff: Millis(50),
             last_backoff: Millis(1_000),
@@ -46,7 +46,7 @@
 }
 
 impl Options {
-    /// Starts from the defaults.
+    /// Creates a builder with the default options.
     pub fn builder() -> OptionsBuilder {
         OptionsBuilder::default()
     }
@@ -70,7 +70,7 @@
                 }
             )*
 
-            /// The options.
+            /// Returns the options.
             pub fn build(self) -> Options {
                 self.options
             }
@@ -79,30 +79,30 @@
 }
 
 setters! {
-    /// Source of time for timeouts and backoff.
+    /// Clock for timeouts, backoff and the validity of certificates.
     clock: Arc<dyn Clock>,
-    /// Receiver of events, such as for metrics.
+    /// Observer of events, for example to count them as metrics.
     observer: Arc<dyn Observer>,
-    /// Longest body of a call, reply or one-way message.
+    /// Maximum size of the body of a call, reply or one-way message.
     message_limit: ByteSize,
-    /// Most calls in flight on one connection.
+    /// Maximum number of calls in flight on one connection.
     concurrent_calls: u32,
-    /// Most bytes of calls that a server has received and not yet answered.
-    received_bytes: ByteSize,
-    /// Most connections that a server accepts.
+    /// Maximum total size of the calls that a server has received and not yet handled.
+    call_memory_limit: ByteSize,
+    /// Maximum number of connections to a server.
     connection_limit: usize,
-    /// Silence after which a connection counts as dead.
+    /// Time without a packet after which a connection is closed.
     idle_timeout: Millis,
     /// Interval between a client's keep-alive packets.
-    keep_alive: Millis,
-    /// Longest duration of an attempt to connect.
+    keep_alive_interval: Millis,
+    /// Timeout of an attempt to connect.
     connect_timeout: Millis,
-    /// Wait after the first failed attempt to connect; it doubles with each further one.
+    /// Backoff after the first failed attempt to connect; it doubles after each further failure.
     first_backoff: Millis,
-    /// Longest wait between two attempts to connect.
+    /// Maximum backoff between two attempts to connect.
     last_backoff: Millis,
-    /// Most one-way messages that wait for one peer.
+    /// Maximum number of one-way messages queued for one peer.
     queued_messages: usize,
-    /// Most bytes of one-way messages that wait for one peer.
+    /// Maximum total size of the one-way messages queued for one peer.
     queued_bytes: ByteSize,
 }
--- a/crates/auburnbridge_peer/src/plain/client.rs
+++ b/crates/auburnbridge_peer/src/plain/client.rs
@@ -1,4 +1,5 @@
-//! Client side: one link per peer, with a task that connects, writes and watches for silence.
+//! Client side: one link per peer, with a task that connects, writes frames and detects a dead
+//! connection by pings.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,21 +17,21 @@
 use super::frame::{Frame, Kind};
 use crate::{Options, PeerAddress, PeerError, PeerIdentity, Transport};
 
-/// Frames that wait for one peer.
-const QUEUE_FRAMES: usize = 1_024;
-/// Longest wait for an unanswered ping; a round trip within a region takes a few milliseconds, and
-/// a busy peer of a tenth of a core some hundred.
-const SILENCE: Millis = Millis(1_000);
-/// Time between two pings on a connection in use.
+/// Maximum number of frames queued for one peer.
+const QUEUED_FRAMES: usize = 1_024;
+/// Time to wait for the answer to a ping. A round trip within a region takes a few milliseconds; a
+/// busy peer limited to a tenth of a core answers after some hundred milliseconds.
+const PONG_TIMEOUT: Millis = Millis(1_000);
+/// Minimum time between two pings on a connection in use.
 const PING_INTERVAL: Millis = Millis(400);
-/// Longest time for a write to be taken by a peer that reads.
+/// Timeout of a write; a write takes longer only if the peer doesn't read.
 const WRITE_TIMEOUT: Millis = Millis(1_500);
-/// Links without a frame for this long are closed and forgotten.
+/// Time without a frame after which a link is closed and removed.
 const LINK_IDLE: Millis = Millis(30_000);
 
 type ReplySender = Sender<Result<Vec<u8>, PeerError>>;
 
-/// Sends bodies to other processes without keys.
+/// Transport over TCP without authentication and encryption.
 pub struct PlainTransport {
     identity: PeerIdentity,
     options: Options,
@@ -39,7 +40,7 @@
 }
 
 impl PlainTransport {
-    /// Creates the transport of a process that calls itself `identity`.
+    /// Creates the transport of a process that states `identity` when it connects.
     pub fn new(identity: PeerIdentity, options: Options) -> Self {
         Self {
             identity,
@@ -55,7 +56,7 @@
         if let Some(link) = links.get(&to.address) {
             return Arc::clone(link);
         }
-        let (frames, queue) = async_channel::bounded(QUEUE_FRAMES);
+        let (frames, queue) = async_channel::bounded(QUEUED_FRAMES);
         let link = Arc::new(Link {
             address: to.address,
             hello: Frame::new(
@@ -85,7 +86,7 @@
         let call = self.next_call.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = async_channel::bounded(1);
         link.pending.lock().insert(call, tx);
-        // Removes the entry also when the caller drops this future.
+        // Removes the entry even if the caller drops this future.
         let _registration = PendingCall { link: &link, call };
         if link
             .frames
@@ -101,11 +102,11 @@
                 })
             })
         };
-        let late = async {
+        let timed_out = async {
             self.options.clock.sleep(timeout).await;
             Err(PeerError::TimedOut)
         };
-        reply.or(late).await
+        reply.or(timed_out).await
     }
 }
 
@@ -123,13 +124,14 @@
         let frame = Frame::new(Kind::Message, 0, body);
         match self.link(to).frames.try_send(frame) {
             Ok(()) => {}
-            // One-way messages may be lost; their senders repeat what matters.
+            // One-way messages may be lost; their senders repeat the ones that matter.
             Err(TrySendError::Full(_)) => log::debug!("queue to {to} is full; message dropped"),
             Err(TrySendError::Closed(_)) => log::debug!("link to {to} ended; message dropped"),
         }
     }
 }
 
+/// Entry of a call in the link's pending calls, removed on drop.
 struct PendingCall<'a> {
     link: &'a Link,
     call: u64,
@@ -141,7 +143,7 @@
     }
 }
 
-/// The way to one peer.
+/// Frame queue and pending calls of one peer.
 struct Link {
     address: SocketAddr,
     hello: Frame,
@@ -150,7 +152,7 @@
     pending: Mutex<HashMap<u64, ReplySender>>,
 }
 
-/// When the last ping went out, and whether its pong has arrived.
+/// Time of the last ping, and whether the peer has sent a frame since.
 #[derive(Clone, Copy)]
 struct PingState {
     sent: Timestamp,
@@ -193,27 +195,27 @@
             stream.set_nodelay(true)?;
             Ok(stream)
         };
-        let late = async {
+        let timed_out = async {
             self.options.clock.sleep(self.options.connect_timeout).await;
             Err(std::io::Error::from(std::io::ErrorKind::TimedOut))
         };
         connecting
-            .or(late)
+            .or(timed_out)
             .await
             .map_err(|error: std::io::Error| error.to_string())
     }
 
-    /// Uses a connection until it ends, and gives the reason.
+    /// Uses a connection until it ends; returns the reason why it ended.
     async fn serve(&self, stream: &TcpStream, first: Frame, queue: &Receiver<Frame>) -> String {
         let now = self.options.clock.now();
         let ping = Mutex::new(PingState {
             sent: now,
             answered: true,
         });
-        let written = self.write_frames(stream, first, queue, &ping);
-        let read = self.read_frames(stream.clone(), &ping);
-        let reason = written.or(read).await;
-        // Dropping the last clone closes the socket; both halves must end now.
+        let writing = self.write_frames(stream, first, queue, &ping);
+        let reading = self.read_frames(stream.clone(), &ping);
+        let reason = writing.or(reading).await;
+        // The stream has clones, and only dropping the last one would close the socket.
         if let Err(error) = stream.shutdown(std::net::Shutdown::Both) {
             log::debug!(
                 "can't shut down the connection to {}: {error}",
@@ -233,17 +235,17 @@
         let mut buf = Vec::new();
         self.hello.encode(&mut buf);
         first.encode(&mut buf);
-        let mut wrote_since_ping = true;
+        let mut has_written_since_ping = true;
         loop {
             while let Ok(frame) = queue.try_recv() {
                 frame.encode(&mut buf);
-                wrote_since_ping = true;
+                has_written_since_ping = true;
             }
             let now = self.options.clock.now();
-            match Self::next_ping(now, ping, wrote_since_ping) {
+            match Self::start_ping_if_due(now, ping, has_written_since_ping) {
                 Ok(true) => {
                     Frame::new(Kind::Ping, 0, Vec::new()).encode(&mut buf);
-                    wrote_since_ping = false;
+                    has_written_since_ping = false;
                 }
                 Ok(false) => {}
                 Err(reason) => return reason,
@@ -254,10 +256,10 @@
                 return reason;
             }
             buf.clear();
-            let has_pending = wrote_since_ping || !ping.lock().answered;
+            let awaits_answer = has_written_since_ping || !ping.lock().answered;
             let next = async { queue.recv().await.ok() };
             let tick = async {
-                let wait = if has_pending {
+                let wait = if awaits_answer {
                     PING_INTERVAL
                 } else {
                     LINK_IDLE
@@ -268,9 +270,9 @@
             match next.or(tick).await {
                 Some(frame) => {
                     frame.encode(&mut buf);
-                    wrote_since_ping = true;
+                    has_written_since_ping = true;
                 }
-                None if !has_pending && self.pending.lock().is_empty() => {
+                None if !awaits_answer && self.pending.lock().is_empty() => {
                     return "the link is idle".to_owned();
                 }
                 None => {}
@@ -278,13 +280,18 @@
         }
     }
 
-    /// Whether a ping is due, or why the connection counts as dead.
-    fn next_ping(now: Timestamp, ping: &Mutex<PingState>, is_in_use: bool) -> Result<bool, String> {
+    /// Returns whether to send a ping now, and records it as sent. Fails with the reason if the
+    /// last ping was not answered in time.
+    fn start_ping_if_due(
+        now: Timestamp,
+        ping: &Mutex<PingState>,
+        is_in_use: bool,
+    ) -> Result<bool, String> {
         let mut ping = ping.lock();
         let age = now.since(ping.sent);
         if !ping.answered {
-            return if age >= SILENCE {
-                Err("the connection is silent".to_owned())
+            return if age >= PONG_TIMEOUT {
+                Err("the peer has not answered a ping in time".to_owned())
             } else {
                 Ok(false)
             };
@@ -306,11 +313,11 @@
                 .await
                 .map_err(|error| error.to_string())
         };
-        let late = async {
+        let timed_out = async {
             self.options.clock.sleep(WRITE_TIMEOUT).await;
-            Err("the peer doesn't read".to_owned())
+            Err("a write timed out because the peer doesn't read".to_owned())
         };
-        writing.or(late).await
+        writing.or(timed_out).await
     }
 
     async fn read_frames(&self, mut stream: TcpStream, ping: &Mutex<PingState>) -> String {
@@ -329,7 +336,7 @@
                 }
             };
             if let Some(reply) = self.pending.lock().remove(&frame.call) {
-                // The caller may have given up meanwhile.
+                // The receiver is gone if the call has timed out meanwhile.
                 let _ = reply.try_send(result);
             }
         }
@@ -341,7 +348,8 @@
         }
     }
 
-    /// Drops what has waited for a connection that could not be made; it is stale by now.
+    /// Drops the queued frames after a failed attempt to connect, because they are outdated by now,
+    /// and fails the pending calls.
     fn drop_queued(&self, queue: &Receiver<Frame>, error: &PeerError) {
         while queue.try_recv().is_ok() {}
         self.fail_pending(error);
--- a/crates/auburnbridge_peer/src/plain/frame.rs
+++ b/crates/auburnbridge_peer/src/plain/frame.rs
@@ -1,26 +1,27 @@
-//! Frames of the plain transport: a length, a kind, a call number and a body.
+//! Frames of the plain transport: a length, a kind, a call number and a body. The length covers all
+//! that follows it; numbers are big-endian.
 
 use std::io;
 
 use async_std::io::{Read, ReadExt};
 use auburnbridge_types::ByteSize;
 
-/// Bytes of the kind and the call number.
-const FIXED_BYTES: usize = 9;
+/// Size of the kind (1 byte) and the call number (8 bytes).
+const KIND_AND_CALL_BYTES: usize = 9;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Kind {
-    /// Identity of the client, the first frame of a connection.
+    /// Identity of the client; first frame of a connection.
     Hello,
     /// One-way message.
     Message,
-    /// Call that expects a reply with its number.
+    /// Call, answered by a reply with the same call number.
     Call,
     /// Reply to a call.
     Reply,
-    /// The handler gave no reply to a call.
+    /// Answer to a call without a reply.
     NoReply,
-    /// Asks for a pong.
+    /// Liveness check, answered by a pong.
     Ping,
     /// Answer to a ping.
     Pong,
@@ -56,7 +57,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Frame {
     pub(super) kind: Kind,
-    /// Number of the call; zero in frames without a reply.
+    /// Call number; zero in frames that belong to no call.
     pub(super) call: u64,
     pub(super) body: Vec<u8>,
 }
@@ -68,7 +69,7 @@
 
     /// Appends the encoded frame to `buf`.
     pub(super) fn encode(&self, buf: &mut Vec<u8>) {
-        let length = u32::try_from(self.body.len() + FIXED_BYTES)
+        let length = u32::try_from(self.body.len() + KIND_AND_CALL_BYTES)
             .expect("bodies are bounded by the message limit of 48 MiB");
         buf.extend_from_slice(&length.to_be_bytes());
         buf.push(self.kind.code());
@@ -76,18 +77,18 @@
         buf.extend_from_slice(&self.body);
     }
 
-    /// Reads one frame, refusing a body over `limit` before it is read.
+    /// Reads one frame. A body over `limit` is refused before it is read.
     pub(super) async fn read(
         stream: &mut (impl Read + Unpin),
         limit: ByteSize,
     ) -> io::Result<Self> {
-        let mut head = [0; 4 + FIXED_BYTES];
+        let mut head = [0; 4 + KIND_AND_CALL_BYTES];
         stream.read_exact(&mut head).await?;
         let [l0, l1, l2, l3, code, call @ ..] = head;
         let length = u32::from_be_bytes([l0, l1, l2, l3]) as usize;
         let kind = Kind::from_code(code).ok_or(io::ErrorKind::InvalidData)?;
         let size = length
-            .checked_sub(FIXED_BYTES)
+            .checked_sub(KIND_AND_CALL_BYTES)
             .filter(|size| *size as u64 <= limit.0)
             .ok_or(io::ErrorKind::InvalidData)?;
         let mut body = vec![0; size];
--- a/crates/auburnbridge_peer/src/plain/mod.rs
+++ b/crates/auburnbridge_peer/src/plain/mod.rs
@@ -1,13 +1,13 @@
-//! Transport without keys: length-prefixed frames over TCP.
+//! Transport without authentication and encryption: length-prefixed frames over TCP.
 //!
-//! For deployments that hand out no certificates. A process states its own identity when it
-//! connects, and nothing proves it, so every machine that reaches the port is trusted like a member
-//! of the fleet, and anyone on the path can read and change the messages. Mutual TLS over QUIC
-//! ([`crate::PeerTransport`]) stays the default.
+//! For deployments without certificates. A process states its identity when it connects, without
+//! proof, so every host that reaches the port is trusted like a member of the fleet, and anyone on
+//! the network path can read and change the messages. Mutual TLS over QUIC
+//! ([`crate::PeerTransport`]) is the default.
 //!
-//! Each process opens one connection to each peer that it calls. An open connection may go silent
-//! without a reset, so the client sends a ping while it has something to say and replaces a
-//! connection that doesn't answer it.
+//! Each process opens one connection to each peer that it calls. A peer may become unreachable
+//! without resetting its connections, so a client sends pings on a connection in use and replaces a
+//! connection whose pings are not answered.
 
 mod client;
 mod frame;
--- a/crates/auburnbridge_peer/src/plain/server.rs
+++ b/crates/auburnbridge_peer/src/plain/server.rs
@@ -1,4 +1,4 @@
-//! Server side: accepts connections and hands bodies to the handler.
+//! Server side: accepts connections and passes calls and messages to a handler.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 use super::frame::{Frame, Kind};
 use crate::{Handler, Options, PeerIdentity};
 
-/// Pause after a failed accept, such as on too many open files.
-const ACCEPT_PAUSE: Millis = Millis(20);
-/// Longest silence of a client; its link closes after 30 s without a frame.
+/// Wait after a failed accept, for example because of too many open files.
+const ACCEPT_RETRY_DELAY: Millis = Millis(20);
+/// Time without a frame after which a connection is closed; a client closes its link after 30 s.
 const CLIENT_IDLE: Millis = Millis(45_000);
-/// Replies that wait to be written on one connection.
+/// Maximum number of replies queued for one connection.
 const QUEUED_REPLIES: usize = 256;
 
-/// Serves other processes without keys.
+/// Serves other processes without authentication and encryption.
 pub struct PlainServer {
     address: SocketAddr,
     accepting: JoinHandle<()>,
@@ -34,7 +34,7 @@
 }
 
 impl PlainServer {
-    /// Starts to listen on the TCP address.
+    /// Binds the TCP address and starts to accept connections.
     pub async fn bind(
         address: SocketAddr,
         handler: Arc<dyn Handler>,
@@ -53,12 +53,12 @@
         })
     }
 
-    /// The address it listens on.
+    /// Address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Ends the acceptance of connections.
+    /// Stops accepting connections.
     pub async fn close(self) {
         self.accepting.cancel().await;
     }
@@ -70,21 +70,23 @@
             let (stream, client) = match listener.accept().await {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    log::warn!("can't accept a connection of a peer: {error}");
-                    self.options.clock.sleep(ACCEPT_PAUSE).await;
+                    log::warn!("can't accept a connection from a peer: {error}");
+                    self.options.clock.sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
             let open = self.connections.fetch_add(1, Ordering::SeqCst);
             if open >= self.options.connection_limit {
                 self.connections.fetch_sub(1, Ordering::SeqCst);
-                log::warn!("closed the connection of peer {client}: the limit is reached");
+                log::warn!(
+                    "closed the connection from peer {client}: the connection limit is reached"
+                );
                 continue;
             }
             let shared = Arc::clone(&self);
             task::spawn(async move {
                 if let Err(error) = shared.serve(stream).await {
-                    log::debug!("connection of peer {client} ended: {error}");
+                    log::debug!("the connection from peer {client} ended: {error}");
                 }
                 shared.connections.fetch_sub(1, Ordering::SeqCst);
             });
@@ -164,14 +166,15 @@
     Ok(())
 }
 
-/// Queues a reply; without room the client doesn't read, and its call times out.
+/// Queues a reply. The reply is dropped if the queue is full, because the client doesn't read; its
+/// call then times out.
 fn send_reply(replies: &Sender<Frame>, reply: Frame) {
     if replies.try_send(reply).is_err() {
-        log::debug!("a reply was dropped: the peer's connection ended or doesn't take replies");
+        log::debug!("dropped a reply: the connection ended, or its queue of replies is full");
     }
 }
 
-/// The identity that a client states: its VM and its role.
+/// Parses the identity in a hello frame: the VM and the role, separated by a space.
 fn read_identity(hello: &Frame) -> Option<PeerIdentity> {
     if hello.kind != Kind::Hello {
         return None;
--- a/crates/auburnbridge_peer/src/queue.rs
+++ b/crates/auburnbridge_peer/src/queue.rs
@@ -1,10 +1,10 @@
-//! Bounded queue of the one-way messages that wait for one peer.
+//! Bounded queue of one-way messages to one peer.
 
 use std::collections::VecDeque;
 
 use auburnbridge_types::ByteSize;
 
-/// First-in-first-out queue that drops its oldest messages to stay within its bounds.
+/// FIFO queue that drops its oldest messages to stay within its limits.
 #[derive(Debug)]
 pub struct SendQueue {
     messages: VecDeque<Vec<u8>>,
@@ -24,9 +24,9 @@
         }
     }
 
-    /// Adds a message and returns how many messages were dropped for it.
+    /// Adds a message and returns the number of dropped messages.
     ///
-    /// A message that exceeds the bounds by itself empties the queue and is dropped too.
+    /// A message that exceeds the limits by itself empties the queue and is dropped too.
     pub fn push(&mut self, message: Vec<u8>) -> usize {
         self.bytes += message.len() as u64;
         self.messages.push_back(message);
@@ -38,7 +38,7 @@
         dropped
     }
 
-    /// Takes the oldest message.
+    /// Removes and returns the oldest message.
     pub fn pop(&mut self) -> Option<Vec<u8>> {
         let message = self.messages.pop_front()?;
         self.bytes -= message.len() as u64;
--- a/crates/auburnbridge_peer/src/server.rs
+++ b/crates/auburnbridge_peer/src/server.rs
@@ -1,4 +1,4 @@
-//! The receiving side: accepts connections from the fleet and passes bodies to a handler.
+//! Server side: accepts connections from the fleet and passes calls and messages to a handler.
 
 use std::convert::Infallible;
 use std::net::{SocketAddr, UdpSocket};
@@ -23,7 +23,7 @@
 use crate::wire::{self, FrameError};
 use crate::{Event, Handler, OversizeKind, tls};
 
-/// Reason why a peer server can't start.
+/// Error of starting a peer server.
 #[derive(Debug)]
 pub enum BindError {
     /// The address can't be bound.
@@ -43,7 +43,7 @@
 
 impl std::error::Error for BindError {}
 
-/// Listens for other processes of the fleet until it is closed or dropped.
+/// Serves other processes of the fleet until it is closed or dropped.
 pub struct PeerServer {
     endpoint: Endpoint,
     address: SocketAddr,
@@ -51,7 +51,7 @@
 }
 
 impl PeerServer {
-    /// Starts to listen on `address`.
+    /// Binds the UDP address and starts to accept connections.
     pub fn bind(
         address: SocketAddr,
         keys: Arc<KeyRing>,
@@ -60,26 +60,26 @@
     ) -> Result<Self, BindError> {
         let current = keys.current();
         let config = tls::server_config(&current, &options).map_err(BindError::Keys)?;
-        let failed = |error| BindError::Address(address, error);
-        let socket = UdpSocket::bind(address).map_err(failed)?;
-        let address = socket.local_addr().map_err(failed)?;
+        let bind_error = |error| BindError::Address(address, error);
+        let socket = UdpSocket::bind(address).map_err(bind_error)?;
+        let address = socket.local_addr().map_err(bind_error)?;
         let endpoint = Endpoint::new(
             endpoint_config(&current),
             Some(config.clone()),
             socket,
             Arc::new(AsyncStdRuntime),
         )
-        .map_err(failed)?;
-        let (running, finished) = async_channel::bounded(1);
-        let received = Budget::new(options.received_bytes);
+        .map_err(bind_error)?;
+        let (call_token, all_ended) = async_channel::bounded(1);
+        let call_memory = Budget::new(options.call_memory_limit);
         let shared = Arc::new(Shared {
             keys,
             handler,
             options,
             config: Mutex::new((current, config)),
-            received,
-            running: Mutex::new(Some(running)),
-            finished,
+            call_memory,
+            call_token: Mutex::new(Some(call_token)),
+            all_ended,
         });
         task::spawn(accept_connections(endpoint.clone(), Arc::clone(&shared)));
         Ok(Self {
@@ -89,21 +89,21 @@
         })
     }
 
-    /// The address that it listens on.
+    /// Address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Refuses new calls, waits at most `limit` for the running ones and then closes.
+    /// Refuses new calls, waits at most `limit` for the running ones and then closes. Returns
+    /// whether all running calls were answered.
     ///
-    /// A refused client learns for certain that its call was not handled. Returns whether all
-    /// running calls were answered.
+    /// The client of a refused call is told that the call was not handled.
     pub async fn stop(self, limit: Millis) -> bool {
         let timeout = self.shared.options.clock.sleep(limit);
-        let finished = self.shared.finish_calls();
+        let all_ended = self.shared.refuse_new_calls();
         let all_answered = future::or(
             async {
-                finished.await;
+                all_ended.await;
                 true
             },
             async {
@@ -116,7 +116,7 @@
         all_answered
     }
 
-    /// Closes all connections at once and waits until the other sides were told.
+    /// Closes all connections at once and waits until the peers are notified.
     pub async fn close(self) {
         self.endpoint.close(wire::CLOSING, b"the process stops");
         self.endpoint.wait_idle().await;
@@ -133,29 +133,30 @@
     keys: Arc<KeyRing>,
     handler: Arc<dyn Handler>,
     options: Options,
-    /// TLS configuration made from these keys.
+    /// TLS configuration and the keys it was built from.
     config: Mutex<(Arc<Keys>, ServerConfig)>,
-    /// Memory for the calls that are not answered yet.
-    received: Arc<Budget>,
-    /// Cloned into each running call; `None` once the server takes no more calls.
-    running: Mutex<Option<Sender<Infallible>>>,
-    /// Closed when no call runs any more.
-    finished: Receiver<Infallible>,
+    /// Memory budget for the calls that are not handled yet.
+    call_memory: Arc<Budget>,
+    /// Cloned into each running call; `None` once the server is stopping.
+    call_token: Mutex<Option<Sender<Infallible>>>,
+    /// Closed when the server is stopping and the last call has ended.
+    all_ended: Receiver<Infallible>,
 }
 
 impl Shared {
-    /// A token of a running call, or `None` when the server is stopping.
+    /// Returns the token of a new call, or `None` if the server is stopping.
     fn begin_call(&self) -> Option<Sender<Infallible>> {
-        self.running.lock().clone()
+        self.call_token.lock().clone()
     }
 
-    /// Refuses new calls; the future ends with the last running one.
-    fn finish_calls(&self) -> impl Future<Output = ()> + use<> {
-        drop(self.running.lock().take());
-        let finished = self.finished.clone();
+    /// Refuses new calls from now on and returns a future that completes when the last running call
+    /// has ended.
+    fn refuse_new_calls(&self) -> impl Future<Output = ()> + use<> {
+        drop(self.call_token.lock().take());
+        let all_ended = self.all_ended.clone();
         async move {
-            // Nothing is ever sent, so this ends when the last token is dropped.
-            let _ = finished.recv().await;
+            // Nothing is ever sent, so `recv` returns when the last token is dropped.
+            let _ = all_ended.recv().await;
         }
     }
 
@@ -163,22 +164,23 @@
         Event::ClientRefused { address, reason }.report(&*self.options.observer);
     }
 
-    /// The configuration for the keys in force, made anew after they were replaced.
+    /// Returns the configuration for the current keys, rebuilt after the keys were replaced.
     fn current_config(&self) -> Result<(Arc<Keys>, ServerConfig), String> {
         let current = self.keys.current();
         let mut config = self.config.lock();
         if !Arc::ptr_eq(&config.0, &current) {
-            let made = tls::server_config(&current, &self.options)?;
-            *config = (current, made);
+            let built = tls::server_config(&current, &self.options)?;
+            *config = (current, built);
         }
         Ok(config.clone())
     }
 }
 
-/// Settings that stay the same over restarts with the same key.
+/// Endpoint configuration whose reset key is derived from the private key, so that it survives a
+/// restart.
 ///
-/// A process that restarts gets packets of connections that it no longer knows. With the same reset
-/// key it answers them with a stateless reset; otherwise its peers would notice the restart only
+/// A restarted process receives packets of connections that it no longer knows. With the same reset
+/// key it answers them with a stateless reset; otherwise its peers would detect the restart only
 /// after the idle timeout, 3 s by default.
 fn endpoint_config(keys: &Keys) -> EndpointConfig {
     let secret = hmac::Key::new(hmac::HMAC_SHA256, keys.key.secret_der());
@@ -189,8 +191,8 @@
     config
 }
 
-/// Connection ids without a mark of the process; the default ones carry a mark that changes with
-/// each start, and packets without it are dropped instead of answered with a reset.
+/// Generates random connection ids. The library's default ids have a tag that changes with each
+/// start, and packets with another tag are dropped instead of answered with a stateless reset.
 #[derive(Debug)]
 struct RandomConnectionIds;
 
@@ -219,10 +221,10 @@
             incoming.refuse();
             continue;
         }
-        // Handshakes from forged addresses could fill the table, so once it is half full, a client
-        // first proves that it receives packets at its address.
+        // Handshakes from forged addresses could use up the connection limit. Once half of it is
+        // used, a client must first prove that it receives packets at its address.
         if open >= limit / 2 && !incoming.remote_address_validated() {
-            // It fails only for a validated address.
+            // `retry` fails only for a validated address.
             let _ = incoming.retry();
             continue;
         }
@@ -260,9 +262,9 @@
         .await
         .map_err(|error| error.to_string())?;
     let now = shared.options.clock.now();
-    let certificate = PeerCertificate::of(&connection, keys, now)
+    let certificate = PeerCertificate::from_connection(&connection, keys, now)
         .inspect_err(|reason| connection.close(wire::NOT_ACCEPTED, reason.as_bytes()))?;
-    greet(&connection)
+    send_greeting(&connection)
         .await
         .map_err(|error| error.to_string())?;
     Ok(Client {
@@ -272,19 +274,19 @@
     })
 }
 
-/// Tells the client that its certificate was accepted.
-async fn greet(connection: &Connection) -> Result<(), ConnectionError> {
+/// Sends the greeting, which tells the client that its certificate was accepted.
+async fn send_greeting(connection: &Connection) -> Result<(), ConnectionError> {
     let mut stream = connection.open_uni().await?;
-    // A failed write means that the connection is lost, which the next accept reports.
+    // A failed write means that the connection is lost; the next accept on it fails then.
     let _ = stream.write_all(&wire::GREETING).await;
     let _ = stream.finish();
     Ok(())
 }
 
 impl Client {
-    /// Closes the connection when the certificate is no longer valid or its authority no longer
-    /// trusted.
-    fn is_still_accepted(&self) -> bool {
+    /// Checks the client's certificate again. If it is no longer valid or its authority no longer
+    /// trusted, closes the connection and returns `false`.
+    fn recheck_certificate(&self) -> bool {
         let now = self.shared.options.clock.now();
         let Err(error) = self.certificate.check(&self.shared.keys, now) else {
             return true;
@@ -304,7 +306,7 @@
 
 async fn accept_calls(client: &Arc<Client>) {
     while let Ok((send, recv)) = client.connection.accept_bi().await {
-        if !client.is_still_accepted() {
+        if !client.recheck_certificate() {
             return;
         }
         task::spawn(serve_call(Arc::clone(client), send, recv));
@@ -320,19 +322,19 @@
             refuse_call(&mut send, &mut recv, wire::TOO_LARGE);
             return;
         }
-        // The client has given up.
+        // The client has cancelled the call, or the connection is lost.
         Ok(None) | Err(FrameError::Incomplete | FrameError::Reset(_) | FrameError::Lost(_)) => {
             return;
         }
     };
-    let Some(reservation) = client.shared.received.reserve(length) else {
+    let Some(reservation) = client.shared.call_memory.reserve(length) else {
         refuse_call(&mut send, &mut recv, wire::OVERLOADED);
         return;
     };
     let Ok(body) = wire::read_last_body(&mut recv, length).await else {
         return;
     };
-    let Some(_running) = client.shared.begin_call() else {
+    let Some(_call_token) = client.shared.begin_call() else {
         let _ = send.reset(wire::STOPPING);
         return;
     };
@@ -348,15 +350,16 @@
         let _ = send.reset(wire::REPLY_TOO_LARGE);
         return;
     }
-    // A failure means that the client has given up or that the connection is lost.
+    // A failure means that the client has cancelled the call or that the connection is lost.
     if wire::write_frame(&mut send, reply).await.is_ok() && send.finish().is_ok() {
-        // Ends once the client has the whole reply, so that a stop of the server waits for that.
+        // Waits until the client has received the whole reply, so that `PeerServer::stop` waits for
+        // it too.
         let _ = send.stopped().await;
     }
 }
 
 fn refuse_call(send: &mut SendStream, recv: &mut RecvStream, code: VarInt) {
-    // Both fail only on a stream that has ended, whose client needs no answer.
+    // Both fail only for a stream that has ended, whose client expects no answer.
     let _ = recv.stop(code);
     let _ = send.reset(code);
 }
@@ -371,7 +374,7 @@
     loop {
         match read_message(&client, &mut recv).await {
             Ok(Some(body)) => {
-                if !client.is_still_accepted() {
+                if !client.recheck_certificate() {
                     return;
                 }
                 let from = client.certificate.identity();
--- a/crates/auburnbridge_peer/src/tls.rs
+++ b/crates/auburnbridge_peer/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS and QUIC configuration of both sides.
+//! TLS and QUIC configuration of clients and servers.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -15,19 +15,20 @@
 use crate::keys::Keys;
 use crate::options::Options;
 
-/// Protocol name in the handshake; its number changes with the layout of the streams.
+/// ALPN protocol name. Its number changes with the layout of the streams.
 const PROTOCOL: &[u8] = b"auburnbridge-peer/1";
 
-/// Assumed round-trip time of a new connection. The library's 333 ms would resend a lost handshake
-/// packet only after about a second, which is the whole time for an attempt to connect.
-const INITIAL_ROUND_TRIP: Duration = Duration::from_millis(50);
+/// Assumed round-trip time of a new connection. With the library's default of 333 ms, a lost
+/// handshake packet would be resent only after about a second, which is the default timeout of an
+/// attempt to connect.
+const INITIAL_RTT: Duration = Duration::from_millis(50);
 
 pub(crate) fn provider() -> &'static Arc<CryptoProvider> {
     static PROVIDER: OnceLock<Arc<CryptoProvider>> = OnceLock::new();
     PROVIDER.get_or_init(|| Arc::new(rustls::crypto::ring::default_provider()))
 }
 
-/// The transport's clock as the one that certificates are checked against.
+/// Passes the transport's clock to rustls, for the validity of certificates.
 struct TimeSource(Arc<dyn Clock>);
 
 impl std::fmt::Debug for TimeSource {
@@ -52,7 +53,8 @@
 
 /// Configuration of outgoing connections.
 ///
-/// Sessions are never resumed, because a resumed session skips the check of the certificates.
+/// Session resumption is disabled, because a resumed session skips the verification of
+/// certificates.
 pub(crate) fn client_config(keys: &Keys, options: &Options) -> Result<ClientConfig, String> {
     let mut tls =
         rustls::ClientConfig::builder_with_details(Arc::clone(provider()), time_source(options))
@@ -67,7 +69,7 @@
     let mut transport = transport_config(options);
     transport
         .max_concurrent_bidi_streams(VarInt::from_u32(0))
-        .keep_alive_interval(Some(Duration::from_millis(options.keep_alive.0)));
+        .keep_alive_interval(Some(Duration::from_millis(options.keep_alive_interval.0)));
     let mut config = ClientConfig::new(Arc::new(crypto));
     config.transport_config(Arc::new(transport));
     Ok(config)
@@ -105,10 +107,10 @@
     let mut transport = TransportConfig::default();
     let idle_timeout = VarInt::from_u64(options.idle_timeout.0).unwrap_or(VarInt::MAX);
     transport
-        // A client needs one stream for its one-way messages, and one more while it reopens it; a
-        // server needs one for its greeting.
+        // A client needs one stream for its one-way messages and a second one while it reopens the
+        // first. A server needs one for its greeting.
         .max_concurrent_uni_streams(VarInt::from_u32(2))
-        .initial_rtt(INITIAL_ROUND_TRIP)
+        .initial_rtt(INITIAL_RTT)
         .max_idle_timeout(Some(IdleTimeout::from(idle_timeout)))
         .datagram_receive_buffer_size(None);
     transport
--- a/crates/auburnbridge_peer/src/wire.rs
+++ b/crates/auburnbridge_peer/src/wire.rs
@@ -1,7 +1,8 @@
-//! Frames on a stream: the length of the body in four bytes, big-endian, then the body.
+//! Frames on a stream: the length of the body as a big-endian number of four bytes, then the body.
 //!
-//! The length is needed on the streams of calls too. A stream whose sender is dropped ends as if it
-//! were complete, so without the length a cancelled call could arrive as a shorter one.
+//! The streams of calls have the length too, although each has a single body. A stream whose sender
+//! is dropped looks complete to the receiver, so without the length a cancelled call could arrive
+//! as a shorter one.
 
 use auburnbridge_types::ByteSize;
 use bytes::Bytes;
@@ -11,10 +12,11 @@
 
 const LENGTH_BYTES: usize = 4;
 
-/// Step by which the buffer of a body grows, so that a length that is only claimed costs little.
+/// Number of bytes by which the buffer of a body grows, so that a false length doesn't allocate
+/// much memory.
 const GROWTH_BYTES: usize = 64 << 10;
 
-/// Version of the stream layout, which the server sends as soon as it has accepted a client.
+/// Version of the stream layout, sent by the server once it has accepted a client.
 pub(crate) const GREETING: [u8; 1] = [1];
 
 /// Reset code: the handler gave no reply.
@@ -27,20 +29,20 @@
 pub(crate) const OVERLOADED: VarInt = VarInt::from_u32(6);
 /// Reset code: the server is stopping and did not handle the call.
 pub(crate) const STOPPING: VarInt = VarInt::from_u32(5);
-/// Close code: the process stops.
+/// Close code: the process is stopping.
 pub(crate) const CLOSING: VarInt = VarInt::from_u32(0);
-/// Close code: the certificate is valid but not acceptable.
+/// Close code: the certificate passed the TLS handshake but was rejected afterwards.
 pub(crate) const NOT_ACCEPTED: VarInt = VarInt::from_u32(4);
 
-/// Reason why a frame could not be read.
+/// Error of reading a frame.
 pub(crate) enum FrameError {
     /// The frame is over the limit.
     TooLarge,
-    /// The stream ended inside a frame, or goes on after its only one.
+    /// The stream ended within a frame, or has more bytes after its only frame.
     Incomplete,
     /// The sender reset the stream.
     Reset(VarInt),
-    /// The connection broke.
+    /// The connection was lost.
     Lost(ConnectionError),
 }
 
@@ -65,9 +67,9 @@
     }
 }
 
-/// Writes one frame; `body` must be within the message limit, which fits four bytes.
+/// Writes one frame; `body` must be within the message limit, whose length fits in four bytes.
 ///
-/// Both parts go out in one write, which otherwise wakes the connection's task twice.
+/// Length and body are written at once; two writes would wake the connection's task twice.
 pub(crate) async fn write_frame(stream: &mut SendStream, body: Vec<u8>) -> Result<(), WriteError> {
     let length = u32::try_from(body.len()).map_err(|_| WriteError::ClosedStream)?;
     let mut parts = [
@@ -77,7 +79,7 @@
     stream.write_all_chunks(&mut parts).await
 }
 
-/// Reads the length of the next frame, or `None` at the end of the stream.
+/// Reads the length of the next frame; `None` at the end of the stream.
 pub(crate) async fn read_length(
     stream: &mut RecvStream,
     limit: ByteSize,
@@ -95,7 +97,7 @@
     Ok(Some(length))
 }
 
-/// Reads the body of a frame. Memory grows with the bytes that arrive.
+/// Reads the body of a frame. Its buffer grows only as bytes arrive.
 pub(crate) async fn read_body(
     stream: &mut RecvStream,
     length: ByteSize,
@@ -110,9 +112,9 @@
     Ok(body)
 }
 
-/// Reads the body of the only frame of a stream, up to the end of the stream.
+/// Reads the body of the only frame of a stream, and the end of the stream.
 ///
-/// A stream that is dropped before its end was read tells its sender to stop, which costs a packet.
+/// Dropping a stream before its end is read would send a packet that tells the sender to stop.
 pub(crate) async fn read_last_body(
     stream: &mut RecvStream,
     length: ByteSize,
--- a/crates/auburnbridge_peer/tests/codec.rs
+++ b/crates/auburnbridge_peer/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Guards the encoding of messages and the queue of one-way messages.
+//! Tests of the encoding of messages and of the queue of one-way messages.
 
 use auburnbridge_peer::SendQueue;
 use auburnbridge_peer::codec::{CodecError, FORMAT_VERSION, decode, encode};
@@ -19,7 +19,7 @@
     Text(Option<String>),
 }
 
-/// Guards against messages of another version or length that decode to something else.
+/// Guards against messages of another version or length that decode to a wrong value.
 #[test]
 fn unreadable_messages_are_refused() {
     let good = encode(&Message::Text(Some("text".to_owned())), LIMIT).unwrap();
@@ -50,19 +50,19 @@
     ));
 }
 
-/// Guards against memory or time that is spent on a length that the input only claims.
+/// Guards against spending memory or time on a false length in the input.
 #[test]
 fn claimed_lengths_are_not_trusted() {
     const LARGEST_LENGTH: [u8; 10] = [255, 255, 255, 255, 255, 255, 255, 255, 255, 1];
-    let claims = [
-        // `Message::Fields` with a VM name, a wait and then a number of bodies.
+    let messages = [
+        // `Message::Fields` with a VM name, a wait and a false number of bodies.
         [&[FORMAT_VERSION, 1, 1, b'a', 5][..], &LARGEST_LENGTH].concat(),
-        // One body with a length.
+        // `Message::Fields` with one body of a false length.
         [&[FORMAT_VERSION, 1, 1, b'a', 5, 1][..], &LARGEST_LENGTH].concat(),
-        // `Message::Text` with a length.
+        // `Message::Text` with a false length.
         [&[FORMAT_VERSION, 2, 1][..], &LARGEST_LENGTH].concat(),
     ];
-    for message in claims {
+    for message in messages {
         let decoded = decode::<Message>(&message, LIMIT);
         assert!(
             matches!(decoded, Err(CodecError::Malformed(_))),
@@ -72,7 +72,7 @@
 }
 
 proptest! {
-    /// Guards against a decoder that accepts a message whose end was cut off.
+    /// Guards against decoding a message whose end is missing.
     #[test]
     fn cut_messages_are_refused(
         bodies in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..20), 0..10),
@@ -86,7 +86,8 @@
         prop_assert_eq!(decode::<Message>(&encoded, LIMIT), Ok(message));
     }
 
-    /// Guards against a panic on input of any kind, and against a value that encodes differently.
+    /// Guards against a panic on arbitrary input, and against a decoded value that doesn't survive
+    /// another encoding and decoding.
     #[test]
     fn any_bytes_decode_or_fail(mut bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         if let Some(version) = bytes.first_mut() {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Guards against a queue that outgrows its bounds, reorders messages or drops the newest.
+    /// Guards against a queue that exceeds its limits, reorders messages or drops newer ones.
     #[test]
     fn queue_keeps_the_newest_messages_in_order(
         sizes in proptest::collection::vec(0_usize..40, 0..60),
@@ -115,12 +116,12 @@
         for message in messages {
             kept.push(message.clone());
             let dropped = queue.push(message);
-            let within = |kept: &[Vec<u8>]| {
+            let is_within_limits = |kept: &[Vec<u8>]| {
                 kept.len() <= message_limit && kept.concat().len() as u64 <= byte_limit.0
             };
-            prop_assert!(dropped == 0 || !within(&kept[dropped - 1..]));
+            prop_assert!(dropped == 0 || !is_within_limits(&kept[dropped - 1..]));
             kept.drain(..dropped);
-            prop_assert!(within(&kept));
+            prop_assert!(is_within_limits(&kept));
         }
         let left: Vec<Vec<u8>> = std::iter::from_fn(|| queue.pop()).collect();
         prop_assert_eq!(left, kept);
--- a/crates/auburnbridge_peer/tests/fleet/mod.rs
+++ b/crates/auburnbridge_peer/tests/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet on loopback: an authority in a temporary folder, issued keys and a recording handler.
+//! Test fleet on loopback: an authority in a temporary folder, issued keys and a handler that
+//! records what it receives.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -18,12 +19,13 @@
 use tempfile::TempDir;
 
 pub const DAY: Millis = Millis(24 * 60 * 60 * 1_000);
-/// Long enough to never end a call that a test expects to succeed.
+/// Timeout longer than any call that a test expects to succeed.
 pub const LONG: Millis = Millis(60_000);
 
 pub struct Fleet {
     folder: TempDir,
-    /// Stands at the real time, which the certificates are checked against.
+    /// Paused at the real time of the start of the test; the validity of certificates is checked
+    /// against it.
     pub clock: PausedClock,
 }
 
@@ -54,13 +56,13 @@
         issue(&self.path(authority), &self.path(vm), &identity, validity).unwrap();
     }
 
-    /// Issues keys that are valid for a day and loads them.
+    /// Issues keys that are valid for one day and loads them.
     pub fn keys(&self, authority: &str, vm: &str) -> Arc<KeyRing> {
         self.issue(authority, vm, self.valid());
         KeyRing::load(&self.path(vm), self.clock.now()).unwrap()
     }
 
-    /// Issues keys that were valid until yesterday and loads them as of then.
+    /// Issues keys that expired two days ago and loads them as of the start of their validity.
     pub fn expired_keys(&self, vm: &str) -> Arc<KeyRing> {
         let from = Timestamp(self.clock.now().0 - 3 * DAY.0);
         let until = from.after(DAY);
@@ -97,8 +99,8 @@
     }
 }
 
-/// Records what it gets. Replies with the body, except to `none` (no reply), `big` (64 KiB) and
-/// `wait` (replies once `release` has come in).
+/// Handler that records all bodies. Replies with the body, except to `none` and `release` (no
+/// reply), `big` (64 KiB) and `wait` (replies with the body once a `release` has arrived).
 pub struct Recorder {
     seen: Sender<String>,
     release: (Sender<()>, Receiver<()>),
@@ -134,7 +136,7 @@
     }
 }
 
-/// Starts a server on an address whose former socket may still be closing.
+/// Starts a server on an address whose previous socket may still be closing.
 pub async fn rebind(
     address: SocketAddr,
     keys: Arc<KeyRing>,
--- a/crates/auburnbridge_peer/tests/fleet/relay.rs
+++ b/crates/auburnbridge_peer/tests/fleet/relay.rs
@@ -1,4 +1,4 @@
-//! UDP relay between one client and one server, which can drop the packets of one direction.
+//! UDP relay between one client and one server that can drop the packets of either direction.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,55 +20,62 @@
 
 pub struct Relay {
     pub address: SocketAddr,
-    cuts: Arc<Cuts>,
+    blocked: Arc<BlockedDirections>,
 }
 
 #[derive(Default)]
-struct Cuts {
+struct BlockedDirections {
     to_server: AtomicBool,
     to_client: AtomicBool,
 }
 
 impl Relay {
     pub async fn start(server: SocketAddr) -> Self {
-        let front = UdpSocket::bind(loopback()).await.unwrap();
-        let back = UdpSocket::bind(loopback()).await.unwrap();
-        back.connect(server).await.unwrap();
-        let address = front.local_addr().unwrap();
-        let cuts = Arc::new(Cuts::default());
-        task::spawn(forward(front, back, Arc::clone(&cuts)));
-        Self { address, cuts }
+        let client_socket = UdpSocket::bind(loopback()).await.unwrap();
+        let server_socket = UdpSocket::bind(loopback()).await.unwrap();
+        server_socket.connect(server).await.unwrap();
+        let address = client_socket.local_addr().unwrap();
+        let blocked = Arc::new(BlockedDirections::default());
+        task::spawn(forward(client_socket, server_socket, Arc::clone(&blocked)));
+        Self { address, blocked }
     }
 
-    pub fn set_cut(&self, direction: Direction, is_cut: bool) {
-        let cut = match direction {
-            Direction::ToServer => &self.cuts.to_server,
-            Direction::ToClient => &self.cuts.to_client,
+    pub fn set_blocked(&self, direction: Direction, is_blocked: bool) {
+        let flag = match direction {
+            Direction::ToServer => &self.blocked.to_server,
+            Direction::ToClient => &self.blocked.to_client,
         };
-        cut.store(is_cut, Ordering::SeqCst);
+        flag.store(is_blocked, Ordering::SeqCst);
     }
 }
 
-async fn forward(front: UdpSocket, back: UdpSocket, cuts: Arc<Cuts>) {
+async fn forward(
+    client_socket: UdpSocket,
+    server_socket: UdpSocket,
+    blocked: Arc<BlockedDirections>,
+) {
     let mut buf = vec![0; PACKET_BYTES];
-    let (size, mut client) = front.recv_from(&mut buf).await.unwrap();
-    back.send(&buf[..size]).await.unwrap();
+    let (size, mut client_address) = client_socket.recv_from(&mut buf).await.unwrap();
+    server_socket.send(&buf[..size]).await.unwrap();
     let mut reply = vec![0; PACKET_BYTES];
     loop {
-        let to_server = async { Ok(front.recv_from(&mut buf).await) };
-        let to_client = async { Err(back.recv(&mut reply).await) };
+        let to_server = async { Ok(client_socket.recv_from(&mut buf).await) };
+        let to_client = async { Err(server_socket.recv(&mut reply).await) };
         match future::or(to_server, to_client).await {
             Ok(received) => {
                 let (size, from) = received.unwrap();
-                client = from;
-                if !cuts.to_server.load(Ordering::SeqCst) {
-                    back.send(&buf[..size]).await.unwrap();
+                client_address = from;
+                if !blocked.to_server.load(Ordering::SeqCst) {
+                    server_socket.send(&buf[..size]).await.unwrap();
                 }
             }
             Err(received) => {
                 let size = received.unwrap();
-                if !cuts.to_client.load(Ordering::SeqCst) {
-                    front.send_to(&reply[..size], client).await.unwrap();
+                if !blocked.to_client.load(Ordering::SeqCst) {
+                    client_socket
+                        .send_to(&reply[..size], client_address)
+                        .await
+                        .unwrap();
                 }
             }
         }
--- a/crates/auburnbridge_peer/tests/keys.rs
+++ b/crates/auburnbridge_peer/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Guards the creation and the loading of key files.
+//! Tests of creating and loading key files.
 
 mod fleet;
 
@@ -27,26 +27,22 @@
     }
 }
 
-/// Guards against errors that don't name the file, or that name the wrong cause.
+/// Guards against errors that don't name the file or state a wrong cause.
 #[test]
 fn errors_name_the_file_and_the_cause() {
     let fleet = Fleet::new();
     fleet.add_authority("other");
     let now = fleet.clock.now();
-    let shifted = |from: u64, until: u64| Validity {
+    let period = |from: u64, until: u64| Validity {
         from: Timestamp(from),
         until: Timestamp(until),
     };
     fleet.issue("authority", "good", fleet.valid());
-    fleet.issue(
-        "authority",
-        "old",
-        shifted(now.0 - 2 * DAY.0, now.0 - DAY.0),
-    );
+    fleet.issue("authority", "old", period(now.0 - 2 * DAY.0, now.0 - DAY.0));
     fleet.issue(
         "authority",
         "early",
-        shifted(now.0 + DAY.0, now.0 + 2 * DAY.0),
+        period(now.0 + DAY.0, now.0 + 2 * DAY.0),
     );
     fleet.issue("other", "strange", fleet.valid());
     let copy = |from: &str, file: &str, to: &str| {
@@ -99,9 +95,10 @@
     assert!(Keys::load(&fleet.path("good"), now).is_ok());
 }
 
-/// Guards against the loss of an authority, and against certificates that nobody will accept.
+/// Guards against overwriting an authority, and against issuing certificates that no process
+/// accepts because the authority's key doesn't match its certificate.
 #[test]
-fn authority_is_kept_and_checked() {
+fn authority_is_not_overwritten_and_is_checked() {
     let fleet = Fleet::new();
     fleet.add_authority("other");
     let error = create_authority(&fleet.path("authority"), fleet.valid()).unwrap_err();
@@ -126,7 +123,7 @@
     assert!(!folder.exists());
 }
 
-/// Guards against a failed reload that leaves the process without keys or with another identity.
+/// Guards against a failed reload that leaves the process without keys or changes its identity.
 #[test]
 fn failed_reload_keeps_the_keys() {
     let fleet = Fleet::new();
@@ -141,8 +138,8 @@
     assert!(KeyRing::load(&fleet.path("a"), fleet.clock.now()).is_ok());
 }
 
-/// Guards against a reload that closes connections although nothing changed, or that misses a change
-/// of one file.
+/// Guards against a reload that closes connections although nothing changed, or that misses a
+/// change of one file.
 #[test]
 fn reload_reports_changes_only() {
     let fleet = Fleet::new();
--- a/crates/auburnbridge_peer/tests/plain.rs
+++ b/crates/auburnbridge_peer/tests/plain.rs
@@ -1,4 +1,5 @@
-//! Guards the plain transport: replies to their calls, order of messages, and silent connections.
+//! Tests of the plain transport: matching of replies to calls, order of messages, and unresponsive
+//! connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +13,8 @@
 use auburnbridge_types::{BoxFuture, ByteSize, Millis};
 use parking_lot::Mutex;
 
-/// Repeats what it is called with, and keeps what it is told.
+/// Replies with the body, to `slow` after 300 ms. Gives no reply to `nothing` and to bodies that
+/// start with `m`, and records the latter.
 #[derive(Default)]
 struct Echo {
     messages: Mutex<Vec<(PeerIdentity, Vec<u8>)>>,
@@ -67,7 +69,7 @@
     (server, echo, transport, to)
 }
 
-/// Guards against a slow call that delays others, and against replies that go to other calls.
+/// Guards against a slow call that delays others, and against replies that reach the wrong call.
 #[test]
 fn replies_belong_to_their_calls() {
     block_on(async {
@@ -87,12 +89,12 @@
             .call(&to, b"nothing".to_vec(), Millis(1_000))
             .await;
         assert_eq!(none, Err(PeerError::NoReply));
-        let late = transport.call(&to, b"slow".to_vec(), Millis(20)).await;
-        assert_eq!(late, Err(PeerError::TimedOut));
+        let timed_out = transport.call(&to, b"slow".to_vec(), Millis(20)).await;
+        assert_eq!(timed_out, Err(PeerError::TimedOut));
     });
 }
 
-/// Guards against one-way messages that overtake each other, and against a lost identity.
+/// Guards against reordered one-way messages, and against a server that doesn't know the sender.
 #[test]
 fn messages_keep_their_order() {
     block_on(async {
@@ -100,7 +102,7 @@
         for number in 0..100_u8 {
             transport.send(&to, vec![b'm', number]);
         }
-        // A call goes behind the messages.
+        // The reply to a call shows that the messages before it were handled.
         transport
             .call(&to, b"c".to_vec(), Millis(1_000))
             .await
@@ -114,7 +116,7 @@
     });
 }
 
-/// Guards against a body that the other side would refuse after reading it.
+/// Guards against sending a body that the server would refuse only after reading it.
 #[test]
 fn long_body_is_refused_before_it_is_sent() {
     block_on(async {
@@ -125,7 +127,8 @@
     });
 }
 
-/// Guards against a call that hangs where nothing listens, and against a link that doesn't recover.
+/// Guards against a call that hangs although nothing listens, and against a link that doesn't
+/// recover after the server is back.
 #[test]
 fn refused_connection_fails_fast_and_recovers() {
     block_on(async {
@@ -146,7 +149,7 @@
     });
 }
 
-/// Guards against an open connection that has gone silent without a reset and is used for ever.
+/// Guards against keeping an open connection whose peer no longer answers.
 #[test]
 fn silent_connection_is_replaced() {
     block_on(async {
@@ -165,13 +168,16 @@
             })
         };
         let (mut first, _) = listener.accept().await.unwrap();
-        // Reads what comes and never answers.
+        // Reads all frames and never answers.
         let reader = task::spawn(async move {
             let mut buf = [0; 256];
             while let Ok(1..) = first.read(&mut buf).await {}
         });
         let second = async_std::future::timeout(Duration::from_secs(4), listener.accept()).await;
-        assert!(second.is_ok(), "the silent connection was kept");
+        assert!(
+            second.is_ok(),
+            "the unresponsive connection was not replaced"
+        );
         caller.cancel().await;
         reader.cancel().await;
     });
--- a/crates/auburnbridge_peer/tests/transport.rs
+++ b/crates/auburnbridge_peer/tests/transport.rs
@@ -1,4 +1,4 @@
-//! Guards the transport between our own processes, over loopback.
+//! Tests of the QUIC transport over loopback.
 
 mod fleet;
 
@@ -17,7 +17,7 @@
 use fleet::{DAY, Fleet, LONG, Recorder, address, loopback, rebind};
 use futures_lite::future;
 
-/// Guards against a lost or altered reply, and a server that doesn't know who calls.
+/// Guards against a lost or altered reply, and against a server that doesn't know the caller.
 #[async_std::test]
 async fn call_gets_its_reply() {
     let fleet = Fleet::new();
@@ -33,8 +33,8 @@
     }
 }
 
-/// Guards against a stranger, an impostor or an expired certificate on either side of a call, and
-/// against an error that leaves open whether the call was received.
+/// Guards against accepting a certificate of another authority, of another VM or that has expired,
+/// on either side of a call, and against an error that leaves the delivery of the call unknown.
 #[async_std::test]
 async fn unacceptable_certificates_are_refused() {
     let fleet = Fleet::new();
@@ -42,13 +42,13 @@
     let good = |vm| fleet.keys("authority", vm);
     let cases = [
         (
-            "strange client",
+            "client of another authority",
             "rejected",
             fleet.keys("other", "s1"),
             good("b1"),
         ),
         (
-            "strange server",
+            "server of another authority",
             "rejected",
             good("a2"),
             fleet.keys("other", "b2"),
@@ -80,7 +80,7 @@
     }
 }
 
-/// Guards against bodies that exhaust memory, and against a wrong statement about their delivery.
+/// Guards against bodies that exhaust memory, and against errors that state a wrong delivery.
 #[async_std::test]
 async fn bodies_over_the_limit_are_refused() {
     let fleet = Fleet::new();
@@ -93,28 +93,28 @@
     };
     let cases: [(&str, u64, u64, Vec<u8>, Delivery); 4] = [
         (
-            "own limit",
+            "call over the limit of the client",
             99,
             9_999,
             vec![b'x'; 100],
             Delivery::NotReceived,
         ),
         (
-            "limit of the server",
+            "call over the limit of the server",
             9_999,
             99,
             vec![b'x'; 100],
             Delivery::NotReceived,
         ),
         (
-            "own limit of the reply",
+            "reply over the limit of the client",
             99,
             99_999,
             b"big".into(),
             Delivery::Received,
         ),
         (
-            "limit of the server's reply",
+            "reply over the limit of the server",
             99_999,
             99,
             b"big".into(),
@@ -138,7 +138,7 @@
     }
 }
 
-/// Guards against a missing reply that reads as an empty one.
+/// Guards against reporting a missing reply as an empty one.
 #[async_std::test]
 async fn missing_reply_is_an_error() {
     let fleet = Fleet::new();
@@ -152,7 +152,7 @@
     assert_eq!(reply, Err(PeerError::NoReply));
 }
 
-/// Guards against a client that stays on a dead connection after its peer restarted.
+/// Guards against a client that keeps using a dead connection after its peer has restarted.
 #[async_std::test]
 async fn reconnects_after_a_restart_of_the_server() {
     let fleet = Fleet::new();
@@ -172,15 +172,16 @@
     transport.call(&to, b"before".into(), LONG).await.unwrap();
     server.close().await;
     let _server = bind(to.address).await;
-    // The call may find the old connection before the client has processed its end.
+    // A call may still use the old connection until the client has processed its close.
     while let Err(error) = transport.call(&to, b"after".into(), LONG).await {
         assert_eq!(error.delivery(), Delivery::Unknown, "{error}");
     }
 }
 
-/// Guards against a storm of attempts to connect: within the backoff, a call fails at once.
+/// Guards against connecting again for each call after a failure: during the backoff, a call fails
+/// immediately.
 #[async_std::test]
-async fn fails_at_once_during_the_backoff() {
+async fn call_fails_immediately_during_the_backoff() {
     let fleet = Fleet::new();
     let (recorder, seen) = Recorder::new();
     let server = PeerServer::bind(
@@ -192,12 +193,12 @@
     .unwrap();
     let to = address("b", &server);
     let transport = fleet.transport(fleet.keys("authority", "a"));
-    let wrong = transport.call(&to, b"x".into(), LONG).await.unwrap_err();
+    let wrong_vm = transport.call(&to, b"x".into(), LONG).await.unwrap_err();
     server.close().await;
     let keys = fleet.keys("authority", "b");
     let _server = rebind(to.address, keys, recorder, fleet.options()).await;
     fleet.clock.advance(Millis(49));
-    assert_eq!(transport.call(&to, b"x".into(), LONG).await, Err(wrong));
+    assert_eq!(transport.call(&to, b"x".into(), LONG).await, Err(wrong_vm));
     transport.send(&to, b"dropped".into());
     fleet.clock.advance(Millis(1));
     assert_eq!(
@@ -207,22 +208,22 @@
     assert_eq!(seen.len(), 1);
 }
 
-/// Guards against a call that outlives its timeout, and against a wrong statement about its
-/// delivery: nothing went to a silent address, but a slow handler has the call.
+/// Guards against a call that outlives its timeout, and against an error that states a wrong
+/// delivery: a call to an unresponsive address was not received, a slow handler may have its call.
 #[async_std::test]
-async fn timeout_tells_whether_the_call_was_sent() {
+async fn timeout_error_states_whether_the_call_was_sent() {
     let fleet = Fleet::new();
     let (recorder, seen) = Recorder::new();
     let keys = fleet.keys("authority", "b");
     let server = PeerServer::bind(loopback(), keys, recorder, fleet.options()).unwrap();
     let transport = fleet.transport(fleet.keys("authority", "a"));
 
-    let silent = UdpSocket::bind(loopback()).unwrap();
-    let to_silent = PeerAddress {
+    let unresponsive = UdpSocket::bind(loopback()).unwrap();
+    let to_unresponsive = PeerAddress {
         vm: "b".parse().unwrap(),
-        address: silent.local_addr().unwrap(),
+        address: unresponsive.local_addr().unwrap(),
     };
-    let mut call = transport.call(&to_silent, b"x".into(), Millis(100));
+    let mut call = transport.call(&to_unresponsive, b"x".into(), Millis(100));
     assert!(future::poll_once(&mut call).await.is_none());
     fleet.clock.advance(Millis(100));
     assert_eq!(call.await.unwrap_err().delivery(), Delivery::NotReceived);
@@ -237,9 +238,9 @@
     assert_eq!(reply, Err(PeerError::TimedOut));
 }
 
-/// Guards against heartbeats that wait behind a slow call, and against reordered messages.
+/// Guards against heartbeats that are delayed by a slow call, and against reordered messages.
 #[async_std::test]
-async fn one_way_messages_pass_a_slow_call_in_order() {
+async fn one_way_messages_overtake_a_slow_call_in_order() {
     let fleet = Fleet::new();
     let (recorder, seen) = Recorder::new();
     let keys = fleet.keys("authority", "b");
@@ -262,8 +263,8 @@
     assert_eq!(reply, Ok(b"wait".into()));
 }
 
-/// Guards against a connection that outlives its certificate or the trust in its authority, and
-/// against keys that are only replaced by a restart.
+/// Guards against a connection that stays open after its certificate has expired or its authority
+/// is no longer trusted, and against replaced keys that only take effect after a restart.
 #[async_std::test]
 async fn replaced_keys_take_effect_without_a_restart() {
     let fleet = Fleet::new();
@@ -282,7 +283,7 @@
     assert!(transport.call(&to, b"1".into(), LONG).await.is_ok());
 
     reload("b", &server_keys);
-    // The first call finds the connection closed; the second one is refused in the handshake.
+    // The first call finds the connection closed; the second one fails in the handshake.
     for _ in 0..2 {
         assert!(transport.call(&to, b"2".into(), LONG).await.is_err());
     }
@@ -299,7 +300,7 @@
     assert_eq!(bodies, ["a (entry): 1", "a (entry): 3"]);
 }
 
-/// Guards against calls that hang on a transport that was closed.
+/// Guards against calls that hang on a closed transport.
 #[async_std::test]
 async fn closed_transport_refuses_calls() {
     let fleet = Fleet::new();
@@ -315,8 +316,8 @@
     assert_eq!(reply, Err(PeerError::Closed));
 }
 
-/// Guards against a planned stop that cuts off a call, or that leaves open whether a refused call
-/// was handled.
+/// Guards against a graceful stop that interrupts a running call, or that leaves it unknown whether
+/// a refused call was handled.
 #[async_std::test]
 async fn stopping_server_answers_running_calls_only() {
     let fleet = Fleet::new();
@@ -341,17 +342,17 @@
     assert!(all_answered);
 }
 
-/// Guards against a stop that waits for ever on a stuck call.
+/// Guards against a stop that waits forever for a stuck call.
 #[async_std::test]
-async fn stop_ends_at_its_limit() {
+async fn stop_does_not_exceed_its_limit() {
     let fleet = Fleet::new();
     let (recorder, seen) = Recorder::new();
     let keys = fleet.keys("authority", "b");
     let server = PeerServer::bind(loopback(), keys, recorder, fleet.options()).unwrap();
     let transport = fleet.transport(fleet.keys("authority", "a"));
     let to = address("b", &server);
-    let stuck = transport.call(&to, b"wait".into(), LONG);
-    let (reply, all_answered) = future::zip(stuck, async {
+    let stuck_call = transport.call(&to, b"wait".into(), LONG);
+    let (reply, all_answered) = future::zip(stuck_call, async {
         seen.recv().await.unwrap();
         let (all_answered, ()) = future::zip(server.stop(Millis(100)), async {
             fleet.clock.advance(Millis(100));
@@ -364,11 +365,11 @@
     assert_eq!(reply.unwrap_err().delivery(), Delivery::Unknown);
 }
 
-/// Guards against a call that hangs on a link that fails in one direction only. The clock of the
-/// timeouts stands still, so only the idle timeout of the connection can end the call.
+/// Guards against a call that hangs when packets are lost in one direction only. The clock of the
+/// call's timeout is paused, so only the idle timeout of the connection can end the call.
 #[async_std::test]
-async fn link_cut_in_one_direction_is_noticed() {
-    let cut_off = |direction| async move {
+async fn link_blocked_in_one_direction_is_detected() {
+    let check_direction = |direction| async move {
         let fleet = Fleet::new();
         let (recorder, _seen) = Recorder::new();
         let keys = fleet.keys("authority", "b");
@@ -380,23 +381,27 @@
         };
         let transport = fleet.transport(fleet.keys("authority", "a"));
         assert!(transport.call(&to, b"before".into(), LONG).await.is_ok());
-        relay.set_cut(direction, true);
+        relay.set_blocked(direction, true);
         let error = transport.call(&to, b"lost".into(), LONG).await.unwrap_err();
         assert_eq!(
             error.delivery(),
             Delivery::Unknown,
             "{direction:?}: {error}"
         );
-        relay.set_cut(direction, false);
+        relay.set_blocked(direction, false);
         let reply = transport.call(&to, b"after".into(), LONG).await;
         assert_eq!(reply, Ok(b"after".into()), "{direction:?}");
     };
-    future::zip(cut_off(Direction::ToServer), cut_off(Direction::ToClient)).await;
+    future::zip(
+        check_direction(Direction::ToServer),
+        check_direction(Direction::ToClient),
+    )
+    .await;
 }
 
-struct Names(Sender<String>);
+struct EventCounts(Sender<String>);
 
-impl Observer for Names {
+impl Observer for EventCounts {
     fn observe(&self, event: &Event<'_>) {
         self.0
             .try_send(format!("{} {}", event.name(), event.count()))
@@ -404,29 +409,32 @@
     }
 }
 
-/// Guards against events that metrics rely on but that are missing or miscounted.
+/// Guards against missing or miscounted events, on which the metrics rely.
 #[async_std::test]
 async fn events_are_observed() {
     let fleet = Fleet::new();
     let (recorder, seen) = Recorder::new();
-    let (names, observed) = async_channel::unbounded();
+    let (counts, observed) = async_channel::unbounded();
     let options = Options::builder()
         .clock(Arc::new(fleet.clock.clone()))
-        .observer(Arc::new(Names(names)))
+        .observer(Arc::new(EventCounts(counts)))
         .message_limit(ByteSize(100))
         .build();
     let keys = fleet.keys("authority", "b");
     let server = PeerServer::bind(loopback(), keys, recorder, fleet.options()).unwrap();
     let transport = PeerTransport::new(fleet.keys("authority", "a"), options);
     let to = address("b", &server);
-    let wrong = PeerAddress {
+    let wrong_vm = PeerAddress {
         vm: "c".parse().unwrap(),
         ..to.clone()
     };
     transport.call(&to, b"x".into(), LONG).await.unwrap();
     transport.call(&to, b"none".into(), LONG).await.unwrap_err();
-    transport.call(&wrong, b"x".into(), LONG).await.unwrap_err();
-    transport.send(&wrong, b"x".into());
+    transport
+        .call(&wrong_vm, b"x".into(), LONG)
+        .await
+        .unwrap_err();
+    transport.send(&wrong_vm, b"x".into());
     transport.send(&to, vec![0; 101]);
     let events: Vec<String> = std::iter::from_fn(|| observed.try_recv().ok()).collect();
     let expected = [
@@ -442,8 +450,8 @@
     assert_eq!(seen.len(), 2);
 }
 
-/// Guards against a client that takes more than its share of a server, and against calls that wait
-/// for a stream beyond their timeout.
+/// Guards against a client that exceeds the limit of concurrent calls or of connections, and
+/// against calls that wait for a stream beyond their timeout.
 #[async_std::test]
 async fn calls_and_connections_are_limited() {
     let fleet = Fleet::new();
@@ -457,7 +465,7 @@
     let server = PeerServer::bind(loopback(), keys, recorder, options).unwrap();
     let to = address("b", &server);
     let first = fleet.transport(fleet.keys("authority", "a"));
-    // The second connection needs a proof of its address, and the third is over the limit.
+    // The second client must first prove its address, and the third one is over the limit.
     let second = fleet.transport(fleet.keys("authority", "c"));
     let third = fleet.transport(fleet.keys("authority", "d"));
     let running = first.call(&to, b"wait".into(), LONG);
@@ -476,15 +484,15 @@
     assert_eq!(reply, Ok(b"wait".into()));
 }
 
-/// Guards against calls that together exhaust the memory of a server, and against memory that is
-/// not released.
+/// Guards against calls that together exceed the memory limit of a server, and against memory that
+/// is not released after a call.
 #[async_std::test]
 async fn received_calls_share_a_memory_limit() {
     let fleet = Fleet::new();
     let (recorder, seen) = Recorder::new();
     let options = Options::builder()
         .clock(Arc::new(fleet.clock.clone()))
-        .received_bytes(ByteSize(100))
+        .call_memory_limit(ByteSize(100))
         .build();
     let keys = fleet.keys("authority", "b");
     let server = PeerServer::bind(loopback(), keys, recorder, options).unwrap();
