--- a/crates/auburnbridge_metrics/src/lib.rs
+++ b/crates/auburnbridge_metrics/src/lib.rs
@@ -1,8 +1,8 @@
 //! Counters and timers, sent to a statsd server.
 //!
-//! Each metric is declared once with its meaning; `docs/OPERATIONS.md` lists them under the prefix
-//! `auburnbridge`. Without an address nothing is sent. Sending never blocks a request: a full queue
-//! drops metrics.
+//! All metrics are declared here and listed in `docs/OPERATIONS.md`; their names have the prefix
+//! `auburnbridge`. Without an address, nothing is sent. Sending never blocks a request: a full
+//! queue drops metrics.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -15,16 +15,16 @@
 use strum::{Display, EnumIter, IntoStaticStr};
 
 const PREFIX: &str = "auburnbridge";
-/// Metrics that wait to be sent.
-const QUEUE: usize = 8_192;
+/// Maximum number of metrics that wait to be sent.
+const QUEUED_METRICS: usize = 8_192;
 
-/// Metrics that count events.
+/// Counters of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Counter {
-    /// Answers of targets that went to callers, by `service` and `class`.
+    /// Answers of targets that were forwarded to callers, by `service` and `class`.
     RequestAnswered,
-    /// Rejections, by `service`, `kind` and `outcome`.
+    /// Refused requests, by `service`, `kind` and `outcome`.
     RequestRefused,
     /// Exchanges with targets, by `service` and `result`.
     Exchange,
@@ -36,25 +36,25 @@
     Ledger,
     /// Requests that crashed a target.
     Crash,
-    /// Syncs of a keeper's disk.
+    /// Disk syncs of a keeper's log.
     Sync,
-    /// Records that those syncs carried.
+    /// Log records that these syncs made durable.
     Record,
 }
 
-/// Metrics that measure durations.
+/// Timers of durations in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Timer {
-    /// From a request's arrival to its answer, by `service` and `class`.
+    /// Time from the arrival of a request to its answer, by `service` and `class`.
     RequestTime,
-    /// One exchange with a target, by `service`.
+    /// Time of an exchange with a target, by `service`.
     ExchangeTime,
-    /// From a command to the ledger's reply, by `command`.
+    /// Time from a command to the reply of the ledger, by `command`.
     LedgerTime,
 }
 
-/// Sends metrics.
+/// Client that sends metrics.
 pub struct Metrics {
     client: StatsdClient,
 }
@@ -66,19 +66,27 @@
 }
 
 impl Metrics {
-    /// Sends to the statsd server at `address`, or nowhere.
+    /// Creates a client that sends to the statsd server at `address`, or discards all metrics if it
+    /// is `None`.
+    ///
+    /// Fails if no UDP socket can be opened.
     pub fn new(address: Option<SocketAddr>) -> std::io::Result<Self> {
         let Some(address) = address else {
-            return Ok(Self::over(NopMetricSink));
+            return Ok(Self::with_sink(NopMetricSink));
         };
         let socket = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0))?;
         socket.set_nonblocking(true)?;
         let sink = UdpMetricSink::from(address, socket).map_err(std::io::Error::other)?;
-        Ok(Self::over(QueuingMetricSink::with_capacity(sink, QUEUE)))
+        Ok(Self::with_sink(QueuingMetricSink::with_capacity(
+            sink,
+            QUEUED_METRICS,
+        )))
     }
 
-    /// Sends to any sink, such as one of a test.
-    pub fn over(sink: impl cadence::MetricSink + Sync + Send + RefUnwindSafe + 'static) -> Self {
+    /// Creates a client that sends to `sink`, for example in a test.
+    pub fn with_sink(
+        sink: impl cadence::MetricSink + Sync + Send + RefUnwindSafe + 'static,
+    ) -> Self {
         let client = StatsdClient::builder(PREFIX, sink)
             .with_error_handler(|error| debug!("a metric was not sent: {error}"))
             .build();
--- a/crates/auburnbridge_metrics/tests/metrics.rs
+++ b/crates/auburnbridge_metrics/tests/metrics.rs
@@ -1,14 +1,14 @@
-//! Guards the names and the form of metrics, on which dashboards rely.
+//! Tests of the names and the format of metrics, on which dashboards rely.
 
 use auburnbridge_metrics::{Counter, Metrics, Timer};
 use auburnbridge_types::Millis;
 use cadence::SpyMetricSink;
 
-/// Guards against a changed prefix, name or tag.
+/// Guards against a change of a prefix, name or tag.
 #[test]
 fn metrics_have_a_prefix_a_name_and_tags() {
     let (rx, sink) = SpyMetricSink::new();
-    let metrics = Metrics::over(sink);
+    let metrics = Metrics::with_sink(sink);
     metrics.count(Counter::RequestRefused, &[("kind", "no-target")]);
     metrics.time(Timer::ExchangeTime, Millis(7), &[("service", "stock")]);
     let sent: Vec<String> = rx
--- a/crates/auburnbridge_telemetry/src/json_log.rs
+++ b/crates/auburnbridge_telemetry/src/json_log.rs
@@ -1,4 +1,4 @@
-//! The logger: formats records where they are made and writes them on a thread of its own.
+//! Logger that formats records on the thread that logs them and writes them on its own thread.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -11,17 +11,17 @@
 
 use crate::encode_line;
 
-/// Interval at which dropped lines are reported.
+/// Maximum time between two checks for dropped lines to report.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bounds of the log.
+/// Limits of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogOptions {
-    /// Least important level that is written.
+    /// Most verbose level that is written.
     pub level: LevelFilter,
-    /// Lines that may wait to be written.
+    /// Maximum number of lines that wait to be written.
     pub queued_lines: usize,
-    /// Lines below the level of warnings that are written in a second.
+    /// Maximum number of lines per second, not counting warnings and errors.
     pub lines_per_second: u64,
 }
 
@@ -35,16 +35,19 @@
     }
 }
 
-/// Writes records as JSON lines without ever waiting.
+/// Writes records as JSON lines. Logging never blocks: lines over the rate or without room in the
+/// queue are dropped and counted.
 pub struct JsonLogger {
     options: LogOptions,
     lines: SyncSender<String>,
     dropped: Arc<AtomicU64>,
-    second: AtomicU64,
-    in_second: AtomicU64,
+    current_second: AtomicU64,
+    lines_in_second: AtomicU64,
 }
 
-/// Makes a [`JsonLogger`] on standard output the logger of the process.
+/// Installs a [`JsonLogger`] that writes to standard output.
+///
+/// Fails if the process already has a logger.
 pub fn init(options: LogOptions) -> Result<(), SetLoggerError> {
     let (logger, lines) = JsonLogger::new(options);
     let dropped = Arc::clone(&logger.dropped);
@@ -53,40 +56,42 @@
     thread::Builder::new()
         .name("log".to_owned())
         .spawn(move || write_lines(&lines, &dropped, io::stdout()))
-        .expect("a process that can't start a thread can't serve either");
+        .expect(
+            "can't start the log thread; a process that can't start a thread can't serve requests",
+        );
     Ok(())
 }
 
 impl JsonLogger {
-    /// Creates a logger and the queue of its lines.
+    /// Creates a logger and the receiving end of its queue of lines.
     pub fn new(options: LogOptions) -> (Self, Receiver<String>) {
         let (tx, rx) = sync_channel(options.queued_lines);
         let logger = Self {
             options,
             lines: tx,
             dropped: Arc::default(),
-            second: AtomicU64::new(0),
-            in_second: AtomicU64::new(0),
+            current_second: AtomicU64::new(0),
+            lines_in_second: AtomicU64::new(0),
         };
         (logger, rx)
     }
 
-    /// Lines that were dropped since the last report.
+    /// Number of lines that were dropped since the last report.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Whether the line stays within the rate; lines counted twice at the turn of a second are
-    /// harmless.
+    /// Counts a line and returns whether it is within the rate. At the start of a second,
+    /// concurrent lines may be miscounted, which is harmless.
     fn is_within_rate(&self, time: SystemTime) -> bool {
         let second = time
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_secs();
-        if self.second.swap(second, Ordering::Relaxed) != second {
-            self.in_second.store(0, Ordering::Relaxed);
+        if self.current_second.swap(second, Ordering::Relaxed) != second {
+            self.lines_in_second.store(0, Ordering::Relaxed);
         }
-        self.in_second.fetch_add(1, Ordering::Relaxed) < self.options.lines_per_second
+        self.lines_in_second.fetch_add(1, Ordering::Relaxed) < self.options.lines_per_second
     }
 }
 
@@ -122,7 +127,7 @@
             Ok(line) => {
                 let waiting = lines.try_iter();
                 for line in std::iter::once(line).chain(waiting) {
-                    // Nobody is left to be told when standard output is closed.
+                    // If standard output is closed, there is nowhere to report the error.
                     let _ = writeln!(out, "{line}");
                 }
                 let _ = out.flush();
--- a/crates/auburnbridge_telemetry/src/lib.rs
+++ b/crates/auburnbridge_telemetry/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a process tells about itself: JSON lines on standard output, and metrics in the Prometheus
-//! text format.
+//! Logs and metrics of a process: JSON lines on standard output, and metrics in the Prometheus text
+//! format.
 //!
-//! Neither ever waits: a log line for which the queue has no room is dropped and counted, and the
-//! metrics are atomic counters that are read when somebody asks.
+//! Neither blocks the caller: a log line that finds the queue full is dropped and counted, and
+//! metrics are atomic counters that are read on request.
 
 mod json_log;
 mod line;
--- a/crates/auburnbridge_telemetry/src/line.rs
+++ b/crates/auburnbridge_telemetry/src/line.rs
@@ -1,4 +1,4 @@
-//! One log record as a JSON object on one line.
+//! Encodes a log record as a JSON object on one line.
 
 use std::time::SystemTime;
 
@@ -6,28 +6,29 @@
 use log::kv::{Error, Key, Value, VisitSource};
 use serde_json::{Map, Value as Json};
 
-/// Encodes a record: its time in milliseconds since the Unix epoch, level, module and message, then
-/// the fields that it was logged with.
+/// Encodes a record as a JSON object: time in milliseconds since the Unix epoch, level, module,
+/// message and the fields of the record.
 pub fn encode_line(record: &Record<'_>, time: SystemTime) -> String {
     let mut line = Map::new();
     let since_epoch = time
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    line.insert("ts".to_owned(), whole(since_epoch.as_millis()));
+    line.insert("ts".to_owned(), json_integer(since_epoch.as_millis()));
     line.insert(
         "level".to_owned(),
         record.level().as_str().to_ascii_lowercase().into(),
     );
     line.insert("module".to_owned(), record.target().into());
     line.insert("message".to_owned(), record.args().to_string().into());
-    // Only a field that can't be formatted ends the visit; the line then says so.
+    // The visit fails only at a field that can't be formatted; the line is then marked as
+    // incomplete.
     if record.key_values().visit(&mut Fields(&mut line)).is_err() {
         line.insert("incomplete".to_owned(), true.into());
     }
     Json::Object(line).to_string()
 }
 
-fn whole(number: u128) -> Json {
+fn json_integer(number: u128) -> Json {
     u64::try_from(number).unwrap_or(u64::MAX).into()
 }
 
--- a/crates/auburnbridge_telemetry/src/metrics.rs
+++ b/crates/auburnbridge_telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms of a process.
+//! Prometheus counters and latency histograms of a process.
 
 use std::fmt::Write;
 
@@ -11,19 +11,19 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Upper ends of the latency buckets, in seconds.
+/// Upper bounds of the latency buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.6, 2.4, 5.0,
 ];
 
-/// Labels of a caller's request.
+/// Labels of a request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
     /// The service.
     pub service: String,
-    /// Whether it may run more than once.
+    /// Whether the request may be executed more than once: `idempotent` or `once`.
     pub class: String,
-    /// How it ended.
+    /// Result of the request.
     pub result: String,
 }
 
@@ -32,7 +32,7 @@
 pub struct ExchangeLabels {
     /// The service.
     pub service: String,
-    /// What it said about the target.
+    /// Finding about the target from the exchange.
     pub finding: String,
 }
 
@@ -106,7 +106,7 @@
 }
 
 impl ProcessMetrics {
-    /// Counts a request of a caller that has ended.
+    /// Records a finished request of a caller and the time that it took.
     pub fn record_request(&self, labels: &RequestLabels, time: Millis) {
         let service = ServiceLabels {
             service: labels.service.clone(),
@@ -117,7 +117,7 @@
             .observe(seconds(time));
     }
 
-    /// Counts an exchange with a target.
+    /// Records an exchange with a target and the time that it took.
     pub fn record_exchange(&self, labels: &ExchangeLabels, time: Millis) {
         let service = ServiceLabels {
             service: labels.service.clone(),
@@ -137,18 +137,18 @@
         self.control_calls.get_or_create(&labels).inc();
     }
 
-    /// States the version of the configuration in force.
+    /// Sets the version of the current configuration.
     pub fn set_configuration_version(&self, version: u64) {
         self.configuration_version
             .set(i64::try_from(version).unwrap_or(i64::MAX));
     }
 
-    /// The metrics in the text format of Prometheus.
+    /// Encodes the metrics in the Prometheus text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         if let Err(error) = encode(&mut text, &self.registry) {
             text.clear();
-            // Writing to a string doesn't fail.
+            // Writing to a string never fails.
             let _ = write!(text, "# the metrics can't be encoded: {error}");
         }
         text
--- a/crates/auburnbridge_telemetry/src/service.rs
+++ b/crates/auburnbridge_telemetry/src/service.rs
@@ -1,4 +1,4 @@
-//! The metrics over HTTP.
+//! Serves the metrics over HTTP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 /// Path of the metrics.
 const PATH: &str = "/metrics";
 
-/// Serves the metrics of one process.
+/// HTTP service that answers requests for `/metrics` and gives 404 for other paths.
 pub struct MetricsService(pub Arc<ProcessMetrics>);
 
 impl Service for MetricsService {
--- a/crates/auburnbridge_telemetry/tests/telemetry.rs
+++ b/crates/auburnbridge_telemetry/tests/telemetry.rs
@@ -1,4 +1,4 @@
-//! Guards the log lines, their bounds, and the metrics.
+//! Tests of log lines, the limits of the log, and metrics.
 
 use std::sync::Arc;
 use std::time::{Duration, UNIX_EPOCH};
@@ -19,7 +19,7 @@
     );
 }
 
-/// Guards against a line that isn't one JSON object, and against numbers that become text.
+/// Guards against a line that isn't a single JSON object, and against numbers encoded as strings.
 #[test]
 fn line_is_one_json_object_with_typed_fields() {
     let fields = [
@@ -45,7 +45,8 @@
     assert_eq!(json, expected);
 }
 
-/// Guards against a logger that waits for a reader, and against lines that are lost uncounted.
+/// Guards against a logger that blocks when the queue is full, and against dropped lines that are
+/// not counted.
 #[test]
 fn full_queue_drops_and_counts() {
     let (logger, lines) = JsonLogger::new(LogOptions {
@@ -59,7 +60,8 @@
     assert_eq!(logger.dropped(), 3);
 }
 
-/// Guards against a flood of lines that takes the processor, and against warnings that it hides.
+/// Guards against a flood of lines that uses up the CPU, and against warnings that are dropped with
+/// it.
 #[test]
 fn rate_is_bounded_except_for_warnings() {
     let (logger, lines) = JsonLogger::new(LogOptions {
@@ -71,15 +73,15 @@
     }
     log_line(&logger, Level::Warn, "warning");
     let lines: Vec<String> = lines.try_iter().collect();
-    // The loop may lie across the turn of one or two seconds.
+    // One or two new seconds may start during the loop.
     assert!((6..=16).contains(&lines.len()), "{}", lines.len());
     assert!(lines.last().unwrap().contains("warning"));
     assert_eq!(logger.dropped(), 1_001 - lines.len() as u64);
 }
 
-/// Guards against lines below the level that is asked for.
+/// Guards against writing or counting lines below the configured level.
 #[test]
-fn level_is_kept() {
+fn lines_below_the_level_are_omitted() {
     let (logger, lines) = JsonLogger::new(LogOptions {
         level: LevelFilter::Info,
         ..LogOptions::default()
@@ -90,7 +92,7 @@
     assert_eq!(logger.dropped(), 0);
 }
 
-/// Guards against metrics that don't count what happened.
+/// Guards against metrics that don't count recorded events.
 #[test]
 fn metrics_count_what_is_recorded() {
     let metrics = Arc::new(ProcessMetrics::default());
