--- a/crates/auburnbridge_peer/src/plain/client.rs
+++ b/crates/auburnbridge_peer/src/plain/client.rs
@@ -215,7 +215,7 @@
         let writing = self.write_frames(stream, first, queue, &ping);
         let reading = self.read_frames(stream.clone(), &ping);
         let reason = writing.or(reading).await;
-        // The stream has clones, and only dropping the last one would close the socket.
+        // Ends both directions now; dropping the stream closes the socket only with its last clone.
         if let Err(error) = stream.shutdown(std::net::Shutdown::Both) {
             log::debug!(
                 "can't shut down the connection to {}: {error}",
