--- a/crates/auburnbridge_http/examples/codec_cost.rs
+++ b/crates/auburnbridge_http/examples/codec_cost.rs
@@ -1,4 +1,4 @@
-//! Prints the cost of decoding and encoding small messages.
+//! Measures the time to decode and encode small messages, in nanoseconds per message.
 //!
 //! Run with `cargo run --release -p auburnbridge_http --example codec_cost`.
 
@@ -11,7 +11,7 @@
     Connection, Limits, Request, RequestInfo, Response, Verdict, encode_request, encode_response,
 };
 
-/// Messages on one connection; each read gets about twenty of them.
+/// Messages on one connection; each read returns about twenty of them.
 const MESSAGES: u32 = 1_000;
 const ROUNDS: u32 = 200;
 const BATCHES: usize = 5;
@@ -40,19 +40,19 @@
     let response = task::block_on(decode_responses(1));
     let mut buf = Vec::new();
 
-    report("decode request", || {
+    measure("decode request", || {
         black_box(task::block_on(decode_requests(MESSAGES)));
     });
-    report("decode response", || {
+    measure("decode response", || {
         black_box(task::block_on(decode_responses(MESSAGES)));
     });
-    report("encode request", || {
+    measure("encode request", || {
         for _ in 0..MESSAGES {
             buf.clear();
             encode_request(black_box(&request), &mut buf);
         }
     });
-    report("encode response", || {
+    measure("encode response", || {
         for _ in 0..MESSAGES {
             buf.clear();
             encode_response(black_box(&response), info, Verdict::Reuse, &mut buf);
@@ -60,18 +60,21 @@
     });
 }
 
-/// Decodes requests from one connection, and gives the last one.
+/// Decodes requests from one connection and returns the last one.
 async fn decode_requests(count: u32) -> Request {
     let limits = Limits::default();
     let mut connection = connection(REQUEST, count);
     let mut last = Request::new("GET", "/");
     for _ in 0..count {
-        last = connection.read_request(&limits).await.expect("it is valid");
+        last = connection
+            .read_request(&limits)
+            .await
+            .expect("valid request");
     }
     last
 }
 
-/// Decodes responses from one connection, and gives the last one.
+/// Decodes responses from one connection and returns the last one.
 async fn decode_responses(count: u32) -> Response {
     let limits = Limits::default();
     let mut connection = connection(RESPONSE, count);
@@ -80,7 +83,7 @@
         last = connection
             .read_response(RequestInfo::default(), &limits)
             .await
-            .expect("it is valid");
+            .expect("valid response");
     }
     last
 }
@@ -89,8 +92,8 @@
     Connection::new(Cursor::new(raw.repeat(count as usize)))
 }
 
-/// Prints the lowest and highest cost of a message over the batches.
-fn report(name: &str, mut call: impl FnMut()) {
+/// Prints the lowest and highest time per message over the batches.
+fn measure(name: &str, mut call: impl FnMut()) {
     let mut costs: Vec<u128> = (0..BATCHES)
         .map(|_| {
             let start = Instant::now();
--- a/crates/auburnbridge_http/src/body.rs
+++ b/crates/auburnbridge_http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies in memory and the budget that bounds their total.
+//! In-memory message bodies and the budget that limits their total size.
 
 use std::fmt;
 use std::ops::Deref;
@@ -9,7 +9,7 @@
 
 use crate::FramingError;
 
-/// A bound on the bytes of all bodies that share it; clones share one count.
+/// A limit on the total bytes of the bodies charged to it; clones share one counter.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
     shared: Arc<BudgetState>,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The bytes held by bodies at present.
+    /// The bytes currently charged to the budget.
     pub fn used(&self) -> ByteSize {
         ByteSize(self.shared.used.load(Ordering::Relaxed))
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Part of a budget, given back on drop.
+/// Bytes reserved from a budget, released on drop.
 struct Reservation {
     budget: MemoryBudget,
     bytes: u64,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The whole body of a message; clones share the bytes and their part of the budget.
+/// The whole body of a message; clones share the bytes and their reservation in the budget.
 #[derive(Clone, Default)]
 pub struct Body(Option<Arc<BodyBytes>>);
 
@@ -115,7 +115,7 @@
 
 /// A body that is being read, charged to the budget as its bytes arrive.
 ///
-/// Charging the announced length at once would let idle senders use up the budget.
+/// Charging the whole `Content-Length` up front would let idle senders exhaust the budget.
 pub(crate) struct BodyBuilder {
     bytes: Vec<u8>,
     reservation: Option<Reservation>,
@@ -142,12 +142,12 @@
         Ok(())
     }
 
-    /// Adds `count` zero bytes for a read to fill.
+    /// Appends `count` zero bytes and returns them for a read to overwrite.
     pub(crate) fn extend_zeroed(&mut self, count: usize) -> Result<&mut [u8], FramingError> {
         self.charge(count)?;
-        let from = self.bytes.len();
-        self.bytes.resize(from + count, 0);
-        Ok(&mut self.bytes[from..])
+        let start = self.bytes.len();
+        self.bytes.resize(start + count, 0);
+        Ok(&mut self.bytes[start..])
     }
 
     pub(crate) fn finish(self) -> Body {
--- a/crates/auburnbridge_http/src/chunked.rs
+++ b/crates/auburnbridge_http/src/chunked.rs
@@ -2,25 +2,25 @@
 
 use crate::FramingError;
 
-/// Longest size: the hexadecimal digits of the largest 64-bit number.
+/// Hexadecimal digits of the largest 64-bit number.
 const MAX_SIZE_DIGITS: usize = 16;
 
-/// Parses a chunk-size line without its line ending. The extension is checked and dropped.
+/// Parses a chunk-size line without its line ending. The extension is validated and discarded.
 pub(crate) fn parse_chunk_size(line: &[u8]) -> Result<u64, FramingError> {
     let (size, extension) = match line.iter().position(|byte| *byte == b';') {
-        // White space before the extension is "bad white space", which recipients must accept.
-        Some(at) => (line[..at].trim_ascii_end(), &line[at..]),
+        // RFC 9112 requires recipients to accept "bad whitespace" before the extension.
+        Some(semicolon) => (line[..semicolon].trim_ascii_end(), &line[semicolon..]),
         None => (line, &[][..]),
     };
-    let is_size =
+    let is_valid_size =
         (1..=MAX_SIZE_DIGITS).contains(&size.len()) && size.iter().all(u8::is_ascii_hexdigit);
-    if !is_size {
+    if !is_valid_size {
         return Err(FramingError::ChunkSize);
     }
-    let has_control = extension
+    let has_control_character = extension
         .iter()
         .any(|byte| byte.is_ascii_control() && *byte != b'\t');
-    if has_control {
+    if has_control_character {
         return Err(FramingError::ChunkExtension);
     }
     std::str::from_utf8(size)
--- a/crates/auburnbridge_http/src/connection.rs
+++ b/crates/auburnbridge_http/src/connection.rs
@@ -13,21 +13,22 @@
 use crate::{Body, FramingError, Limits, Request, RequestInfo, Response, Verdict};
 
 const READ_BYTES: usize = 8 * 1024;
-/// Bytes by which a body grows, and by which it is charged to the budget ahead of its arrival.
-const BODY_STEP_BYTES: u64 = 16 * 1024;
-/// A buffer that grew beyond this is given back when it is empty.
-const KEPT_BUFFER_BYTES: usize = 4 * READ_BYTES;
-/// Longest chunk-size line, which bounds a chunk's extension.
-const CHUNK_LINE_BYTES: usize = 256;
-/// Bytes that are read beyond the message that is being handled.
-const READ_AHEAD_BYTES: usize = 256 * 1024;
-/// Interim responses that are skipped before the final one.
+/// Increment in which a body buffer grows; the budget is charged for it before its bytes arrive.
+const BODY_GROWTH_BYTES: u64 = 16 * 1024;
+/// An empty read buffer with a larger capacity than this is freed.
+const MAX_RETAINED_BUFFER_BYTES: usize = 4 * READ_BYTES;
+/// Longest chunk-size line, which also limits the chunk extension.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
+/// Most bytes buffered beyond the message that is being handled.
+const MAX_READ_AHEAD_BYTES: usize = 256 * 1024;
+/// Most interim (1xx) responses skipped before the final one.
 const MAX_INTERIM_RESPONSES: usize = 8;
 
-/// A byte stream with the bytes that were read beyond the last message.
+/// A byte stream with a buffer of the bytes read beyond the last message.
 ///
-/// A read that was dropped before it completed leaves the connection inside a message; the
-/// connection must then be closed. Only [`Connection::wait_for_bytes`] may be dropped and repeated.
+/// Reading a message is not cancellation safe: a read that is dropped before it completes leaves
+/// the connection inside a message, and the connection must then be closed. Only
+/// [`Connection::wait_for_bytes`] and [`Connection::wait_for_more`] may be dropped and repeated.
 #[derive(Debug)]
 pub struct Connection<S> {
     stream: S,
@@ -37,7 +38,7 @@
 }
 
 impl<S> Connection<S> {
-    /// Wraps a stream that stands at the start of a message.
+    /// Wraps a stream that is positioned at the start of a message.
     pub fn new(stream: S) -> Self {
         Self {
             stream,
@@ -47,17 +48,17 @@
         }
     }
 
-    /// The stream.
+    /// The underlying stream.
     pub fn get_ref(&self) -> &S {
         &self.stream
     }
 
-    /// The stream, for reads and writes that bypass the buffer.
+    /// The underlying stream, for reads and writes that bypass the buffer.
     pub fn get_mut(&mut self) -> &mut S {
         &mut self.stream
     }
 
-    /// The bytes that were read but belong to no message yet.
+    /// The bytes that were read but not consumed by a message yet.
     pub fn leftover(&self) -> &[u8] {
         &self.buf[self.start..]
     }
@@ -74,7 +75,7 @@
         }
         self.start = 0;
         self.buf.clear();
-        if self.buf.capacity() > KEPT_BUFFER_BYTES {
+        if self.buf.capacity() > MAX_RETAINED_BUFFER_BYTES {
             self.buf = Vec::new();
         }
     }
@@ -90,8 +91,8 @@
 
     /// Writes the response to the request of `info` in one write.
     ///
-    /// With the verdict `Retire`, the peer is told that the connection closes; closing it is up to
-    /// the caller.
+    /// With the verdict `Retire`, the response carries `Connection: close`; closing the connection
+    /// is up to the caller of this method.
     pub async fn write_response(
         &mut self,
         response: &Response,
@@ -110,12 +111,12 @@
 }
 
 impl<S: Read + Write + Unpin> Connection<S> {
-    /// Reads a whole request. Answers `Expect: 100-continue` once the head is accepted.
+    /// Reads a whole request. Answers `Expect: 100-continue` once the head is validated.
     pub async fn read_request(&mut self, limits: &Limits) -> Result<Request, FramingError> {
         let length = self.read_head(limits, true).await?;
         let head = head::parse_request_head(&self.leftover()[..length], limits)?;
         self.consume(length);
-        check_size(head.framing, limits)?;
+        check_announced_length(head.framing, limits)?;
         let awaits_continue = head.expects_continue && head.framing != Framing::Empty;
         if awaits_continue && self.leftover().is_empty() {
             self.write(CONTINUE).await?;
@@ -132,7 +133,7 @@
 }
 
 impl<S: Read + Unpin> Connection<S> {
-    /// Reads the whole final response to the request of `info`, skipping interim responses.
+    /// Reads the whole final response to the request of `info` and skips interim responses.
     pub async fn read_response(
         &mut self,
         info: RequestInfo,
@@ -145,7 +146,7 @@
             if head.status < 200 {
                 continue;
             }
-            check_size(head.framing, limits)?;
+            check_announced_length(head.framing, limits)?;
             let body = self.read_body(head.framing, limits).await?;
             let verdict = if self.leftover().is_empty() {
                 head.verdict
@@ -163,9 +164,9 @@
         Err(FramingError::TooManyInterim)
     }
 
-    /// Waits until a byte of the next message is there; `false` at the end of the stream.
+    /// Waits until a byte of the next message is buffered; `false` at the end of the stream.
     ///
-    /// It may be dropped and repeated without losing bytes.
+    /// Cancellation safe: it may be dropped and repeated without losing bytes.
     pub async fn wait_for_bytes(&mut self) -> Result<bool, FramingError> {
         if !self.leftover().is_empty() {
             return Ok(true);
@@ -175,46 +176,46 @@
 
     /// Waits for bytes beyond those that are buffered; `false` at the end of the stream.
     ///
-    /// It may be dropped and repeated without losing bytes. The buffer grows by what arrives, at most
-    /// by [`READ_AHEAD_BYTES`] in all; then it never completes.
+    /// Cancellation safe: it may be dropped and repeated without losing bytes. The buffer grows by
+    /// what arrives, up to [`MAX_READ_AHEAD_BYTES`] in all; after that, it never completes.
     pub async fn wait_for_more(&mut self) -> Result<bool, FramingError> {
-        if self.leftover().len() >= READ_AHEAD_BYTES {
+        if self.leftover().len() >= MAX_READ_AHEAD_BYTES {
             return std::future::pending().await;
         }
         Ok(self.fill().await? > 0)
     }
 
-    /// Reads until the buffer holds a head, and gives the head's length.
+    /// Reads until the buffer holds a whole head, and returns the head's length.
     async fn read_head(
         &mut self,
         limits: &Limits,
-        skips_empty_line: bool,
+        allows_empty_line: bool,
     ) -> Result<usize, FramingError> {
-        let mut may_skip = skips_empty_line;
-        let mut checked = 0;
+        let mut may_skip = allows_empty_line;
+        let mut scanned = 0;
         loop {
-            // Old callers send an empty line after a body; RFC 9112 asks servers to skip one.
+            // Old clients send an empty line after a body; RFC 9112 asks servers to skip one.
             if may_skip && self.leftover().starts_with(b"\r\n") {
                 self.consume(2);
                 may_skip = false;
-                checked = 0;
+                scanned = 0;
             }
-            let window = self.leftover();
-            if window.starts_with(b"\r\n") {
+            let buffered = self.leftover();
+            if buffered.starts_with(b"\r\n") {
                 return Err(FramingError::StartLine);
             }
-            if let Some(length) = head::find_head_end(window, checked)? {
-                if length > limits.head_bytes {
+            if let Some(length) = head::find_head_end(buffered, scanned)? {
+                if length > limits.max_head_bytes {
                     return Err(FramingError::HeadTooLarge);
                 }
                 return Ok(length);
             }
-            checked = window.len();
-            if checked >= limits.head_bytes {
+            scanned = buffered.len();
+            if scanned >= limits.max_head_bytes {
                 return Err(FramingError::HeadTooLarge);
             }
             if self.fill().await? == 0 {
-                return Err(if checked == 0 {
+                return Err(if scanned == 0 {
                     FramingError::ClosedBetweenMessages
                 } else {
                     FramingError::ClosedInHead
@@ -241,7 +242,7 @@
     ) -> Result<(), FramingError> {
         loop {
             let buffered = self.leftover();
-            if buffered.len() as u64 > limits.body_bytes - body.len() {
+            if buffered.len() as u64 > limits.max_body_bytes - body.len() {
                 return Err(FramingError::BodyTooLarge);
             }
             let taken = buffered.len();
@@ -260,23 +261,23 @@
     ) -> Result<(), FramingError> {
         let mut extension_bytes = 0;
         loop {
-            let line = self.read_line(CHUNK_LINE_BYTES).await?;
-            let text = &self.leftover()[..line];
-            let size = parse_chunk_size(text)?;
-            extension_bytes += text.iter().skip_while(|byte| **byte != b';').count();
-            if extension_bytes > limits.head_bytes {
+            let line_length = self.read_line(MAX_CHUNK_LINE_BYTES).await?;
+            let line = &self.leftover()[..line_length];
+            let size = parse_chunk_size(line)?;
+            extension_bytes += line.iter().skip_while(|byte| **byte != b';').count();
+            if extension_bytes > limits.max_head_bytes {
                 return Err(FramingError::HeadTooLarge);
             }
-            self.consume(line + 2);
+            self.consume(line_length + 2);
             if size == 0 {
                 return self.skip_trailers(limits).await;
             }
-            if size > limits.body_bytes - body.len() {
+            if size > limits.max_body_bytes - body.len() {
                 return Err(FramingError::BodyTooLarge);
             }
             self.read_bytes(size, body).await?;
             while self.leftover().len() < 2 {
-                self.fill_body().await?;
+                self.fill_within_body().await?;
             }
             if !self.leftover().starts_with(b"\r\n") {
                 return Err(FramingError::ChunkEnd);
@@ -286,85 +287,90 @@
     }
 
     async fn skip_trailers(&mut self, limits: &Limits) -> Result<(), FramingError> {
-        let mut checked = 0;
+        let mut scanned = 0;
         let length = loop {
-            let window = self.leftover();
-            if window.starts_with(b"\r\n") {
+            let buffered = self.leftover();
+            if buffered.starts_with(b"\r\n") {
                 break 2;
             }
-            if let Some(length) = head::find_head_end(window, checked)? {
-                if length > limits.head_bytes {
+            if let Some(length) = head::find_head_end(buffered, scanned)? {
+                if length > limits.max_head_bytes {
                     return Err(FramingError::HeadTooLarge);
                 }
                 break length;
             }
-            checked = window.len();
-            if checked >= limits.head_bytes {
+            scanned = buffered.len();
+            if scanned >= limits.max_head_bytes {
                 return Err(FramingError::HeadTooLarge);
             }
-            self.fill_body().await?;
+            self.fill_within_body().await?;
         };
-        head::check_trailers(&self.leftover()[..length], limits)?;
+        head::validate_trailers(&self.leftover()[..length], limits)?;
         self.consume(length);
         Ok(())
     }
 
-    /// Reads until the buffer holds a line, and gives the line's length without CR LF.
+    /// Reads until the buffer holds a whole line, and returns its length without CR LF.
     async fn read_line(&mut self, limit: usize) -> Result<usize, FramingError> {
         loop {
-            let window = self.leftover();
-            if let Some(at) = window.iter().position(|byte| matches!(byte, b'\r' | b'\n')) {
-                match (window[at], window.get(at + 1)) {
+            let buffered = self.leftover();
+            if let Some(at) = buffered
+                .iter()
+                .position(|byte| matches!(byte, b'\r' | b'\n'))
+            {
+                match (buffered[at], buffered.get(at + 1)) {
                     (b'\r', Some(b'\n')) if at <= limit => return Ok(at),
                     (b'\r', Some(b'\n')) => return Err(FramingError::ChunkSize),
                     (b'\r', None) => {}
                     _ => return Err(FramingError::LineEnding),
                 }
             }
-            if window.len() > limit + 1 {
+            if buffered.len() > limit + 1 {
                 return Err(FramingError::ChunkSize);
             }
-            self.fill_body().await?;
+            self.fill_within_body().await?;
         }
     }
 
-    /// Moves exactly `count` bytes into the body.
+    /// Reads exactly `count` bytes into the body.
     async fn read_bytes(&mut self, count: u64, body: &mut BodyBuilder) -> Result<(), FramingError> {
         let buffered = self.leftover();
         let take = usize::try_from(count).map_or(buffered.len(), |count| count.min(buffered.len()));
         body.append(&buffered[..take])?;
         self.consume(take);
-        let mut missing = count - take as u64;
-        while missing > 0 {
-            let step = usize::try_from(missing.min(BODY_STEP_BYTES)).expect("16 KiB fit a usize");
-            let mut space = body.extend_zeroed(step)?;
-            while !space.is_empty() {
-                let read = self.stream.read(space).await?;
+        let mut remaining = count - take as u64;
+        while remaining > 0 {
+            let step =
+                usize::try_from(remaining.min(BODY_GROWTH_BYTES)).expect("16 KiB fit a usize");
+            let mut unfilled = body.extend_zeroed(step)?;
+            while !unfilled.is_empty() {
+                let read = self.stream.read(unfilled).await?;
                 if read == 0 {
                     return Err(FramingError::ClosedInBody);
                 }
                 self.received += read as u64;
-                space = &mut space[read..];
+                unfilled = &mut unfilled[read..];
             }
-            missing -= step as u64;
+            remaining -= step as u64;
         }
         Ok(())
     }
 
-    async fn fill_body(&mut self) -> Result<(), FramingError> {
+    /// Reads more bytes into the buffer; fails at the end of the stream.
+    async fn fill_within_body(&mut self) -> Result<(), FramingError> {
         match self.fill().await? {
             0 => Err(FramingError::ClosedInBody),
             _ => Ok(()),
         }
     }
 
-    /// Reads more bytes into the buffer; gives 0 at the end of the stream.
+    /// Reads more bytes into the buffer; returns 0 at the end of the stream.
     async fn fill(&mut self) -> Result<usize, FramingError> {
         if self.start > 0 {
             self.buf.drain(..self.start);
             self.start = 0;
         }
-        // The spare room exists only within a poll, so that a dropped read leaves none behind.
+        // The zeroed space exists only within a poll, so that a dropped read leaves none of it.
         poll_fn(|cx| {
             let filled = self.buf.len();
             self.buf.resize(filled + READ_BYTES, 0);
@@ -382,10 +388,10 @@
     }
 }
 
-/// Rejects a body that is announced to be too large before any of it is read.
-fn check_size(framing: Framing, limits: &Limits) -> Result<(), FramingError> {
+/// Rejects a body whose `Content-Length` exceeds the limit before any of it is read.
+fn check_announced_length(framing: Framing, limits: &Limits) -> Result<(), FramingError> {
     match framing {
-        Framing::Sized(length) if length > limits.body_bytes => Err(FramingError::BodyTooLarge),
+        Framing::Sized(length) if length > limits.max_body_bytes => Err(FramingError::BodyTooLarge),
         Framing::Empty | Framing::Sized(_) | Framing::Chunked | Framing::UntilClose => Ok(()),
     }
 }
--- a/crates/auburnbridge_http/src/encode.rs
+++ b/crates/auburnbridge_http/src/encode.rs
@@ -1,8 +1,8 @@
-//! Encoding of whole messages into one buffer, so that each goes out in one write.
+//! Encoding of whole messages into one buffer, so that each is sent in one write.
 //!
-//! The encoder of async-h1 is not used: its messages are `http_types` messages, whose headers are
-//! a hash map that loses the order of the headers, and it hands out a message as a stream of reads
-//! rather than as one buffer. A message here has a known length, so encoding is a few appends.
+//! The encoder of async-h1 is not used: it encodes `http_types` messages, whose headers are a hash
+//! map that loses the header order, and it produces a message as a stream of reads rather than as
+//! one buffer. The length of a message is known here, so encoding takes a few appends.
 
 use std::io::Write;
 
@@ -13,20 +13,20 @@
 /// The interim response to `Expect: 100-continue`.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Methods whose requests have no body as a rule; `Content-Length: 0` is left out for them.
+/// Methods whose requests usually have no body; `Content-Length: 0` is omitted for them.
 const BODILESS_METHODS: [&str; 5] = ["GET", "HEAD", "OPTIONS", "DELETE", "TRACE"];
 
-const START_LINE_BYTES: usize = 64;
-const BYTES_PER_HEADER: usize = 48;
+const ESTIMATED_START_LINE_BYTES: usize = 64;
+const ESTIMATED_HEADER_BYTES: usize = 48;
 
 /// Appends the encoded request to `buf`.
 ///
-/// A request without `Host`, which only HTTP/1.0 allows, gets an empty one.
+/// A request without `Host`, which only HTTP/1.0 allows, gets an empty `Host`.
 pub fn encode_request(request: &Request, buf: &mut Vec<u8>) {
     buf.reserve(
-        START_LINE_BYTES
+        ESTIMATED_START_LINE_BYTES
             + request.path.len()
-            + request.headers.len() * BYTES_PER_HEADER
+            + request.headers.len() * ESTIMATED_HEADER_BYTES
             + request.body.len(),
     );
     buf.extend_from_slice(request.method.as_bytes());
@@ -38,7 +38,7 @@
         buf.extend_from_slice(b"Host: \r\n");
     }
     if !request.body.is_empty() || !BODILESS_METHODS.contains(&request.method.as_str()) {
-        encode_length(request.body.len() as u64, buf);
+        encode_content_length(request.body.len() as u64, buf);
     }
     if request.verdict == Verdict::Retire {
         buf.extend_from_slice(b"Connection: close\r\n");
@@ -49,21 +49,25 @@
 
 /// Appends the encoded response to the request of `info` to `buf`.
 ///
-/// `verdict` is that of the connection which carries the response; the response's own verdict
-/// belongs to the connection it was read from.
+/// `verdict` applies to the connection that carries the response; the response's own verdict
+/// applies to the connection it was read from.
 pub fn encode_response(
     response: &Response,
     info: RequestInfo,
     verdict: Verdict,
     buf: &mut Vec<u8>,
 ) {
-    buf.reserve(START_LINE_BYTES + response.headers.len() * BYTES_PER_HEADER + response.body.len());
+    buf.reserve(
+        ESTIMATED_START_LINE_BYTES
+            + response.headers.len() * ESTIMATED_HEADER_BYTES
+            + response.body.len(),
+    );
     let reason = reason_phrase(response.status);
     write!(buf, "HTTP/1.1 {} {reason}\r\n", response.status)
         .expect("writing to a vector does not fail");
     encode_headers(response.headers.iter(), buf);
-    if let Some(length) = response_length(response, info) {
-        encode_length(length, buf);
+    if let Some(length) = content_length(response, info) {
+        encode_content_length(length, buf);
     }
     if verdict == Verdict::Retire {
         buf.extend_from_slice(b"Connection: close\r\n");
@@ -76,7 +80,7 @@
 
 /// The reason phrase of a status, empty for an unregistered one.
 fn reason_phrase(status: u16) -> &'static str {
-    // http-types calls this status "Modified".
+    // http-types has the wrong reason phrase "Modified" for this status.
     if status == 304 {
         return "Not Modified";
     }
@@ -85,16 +89,16 @@
         .unwrap_or_default()
 }
 
-/// The `Content-Length` of a response; one to `HEAD` gives that of the body it leaves out.
-fn response_length(response: &Response, info: RequestInfo) -> Option<u64> {
+/// The `Content-Length` of a response; a response to `HEAD` gives the length of the omitted body.
+fn content_length(response: &Response, info: RequestInfo) -> Option<u64> {
     let body_length = response.body.len() as u64;
     if !Response::is_bodiless(response.status, info) {
         return Some(body_length);
     }
-    let is_left_out = info.is_head && body_length > 0;
+    let omits_body = info.is_head && body_length > 0;
     response
         .announced_length
-        .or_else(|| is_left_out.then_some(body_length))
+        .or_else(|| omits_body.then_some(body_length))
 }
 
 fn encode_headers<'a>(headers: impl Iterator<Item = (&'a str, &'a [u8])>, buf: &mut Vec<u8>) {
@@ -106,6 +110,6 @@
     }
 }
 
-fn encode_length(length: u64, buf: &mut Vec<u8>) {
+fn encode_content_length(length: u64, buf: &mut Vec<u8>) {
     write!(buf, "Content-Length: {length}\r\n").expect("writing to a vector does not fail");
 }
--- a/crates/auburnbridge_http/src/error.rs
+++ b/crates/auburnbridge_http/src/error.rs
@@ -11,39 +11,39 @@
 pub enum FramingError {
     /// The peer closed the connection between messages.
     ClosedBetweenMessages,
-    /// The connection closed inside a head.
+    /// The connection was closed inside a head.
     ClosedInHead,
-    /// The connection closed inside a body.
+    /// The connection was closed inside a body.
     ClosedInBody,
     /// Reading or writing the stream failed.
     Io(io::ErrorKind),
-    /// A line ends in a bare CR or LF, or a CR stands inside a line.
+    /// A line ends in a bare CR or LF, or contains a CR.
     LineEnding,
     /// The request or status line is malformed.
     StartLine,
     /// The version is neither HTTP/1.0 nor HTTP/1.1.
     Version,
-    /// The method is one that an intermediary can't forward as a message.
+    /// The method is `CONNECT`, which an intermediary can't forward as a message.
     Method,
-    /// The request target is not a path, or `*` with `OPTIONS`.
+    /// The request target is neither a path, an `http` URI with a path, nor `*` with `OPTIONS`.
     RequestTarget,
-    /// The status lies outside 100 to 599.
+    /// The status is outside 100 to 599.
     Status,
     /// A header continues on the next line.
     FoldedHeader,
-    /// White space stands between a header's name and its colon.
+    /// Whitespace precedes the colon after a header's name.
     SpaceBeforeColon,
     /// A header's name is not a token.
     HeaderName,
-    /// A header's value holds a control character.
+    /// A header's value contains a control character.
     HeaderValue,
     /// An HTTP/1.1 request has no `Host`.
     HostMissing,
     /// A request has more than one `Host`.
     HostRepeated,
-    /// The `Host` is not a host and port, or differs from the request target's.
+    /// `Host` is not a host and port, or differs from the host in the request target.
     HostInvalid,
-    /// `Content-Length` is not a number of digits that fits 64 bits.
+    /// `Content-Length` is not a decimal number that fits 64 bits.
     LengthInvalid,
     /// More than one `Content-Length`.
     LengthRepeated,
@@ -53,17 +53,17 @@
     LengthMissing,
     /// A transfer coding other than a single `chunked`, or any in HTTP/1.0.
     TransferCoding,
-    /// A body is announced for a status that has none.
+    /// The head announces a body for a status that has none.
     BodyForbidden,
-    /// A chunk's size is not hexadecimal digits that fit 64 bits.
+    /// A chunk's size is not a hexadecimal number that fits 64 bits, or its line is too long.
     ChunkSize,
-    /// A chunk's extension holds a control character.
+    /// A chunk's extension contains a control character.
     ChunkExtension,
     /// A chunk is not followed by CR LF.
     ChunkEnd,
-    /// `Connection` names a header that is meant for all recipients.
+    /// `Connection` holds an option that is not a token or names a protected header.
     ConnectionOption,
-    /// `Expect` holds something else than `100-continue`.
+    /// `Expect` holds anything other than `100-continue`.
     Expectation,
     /// The response switches protocols, which no request asks for.
     UpgradeUnrequested,
@@ -75,12 +75,12 @@
     TooManyHeaders,
     /// The body is longer than the limit.
     BodyTooLarge,
-    /// The memory budget for bodies is used up.
+    /// The memory budget for bodies is exhausted.
     MemoryExhausted,
 }
 
 impl FramingError {
-    /// The answer to a caller whose request has this fault, or `None` when the caller is gone.
+    /// The error kind for a caller whose request failed in this way; `None` if the caller is gone.
     pub const fn request_kind(self) -> Option<ErrorKind> {
         match self {
             Self::ClosedBetweenMessages | Self::ClosedInHead | Self::ClosedInBody | Self::Io(_) => {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The answer to a caller whose target gave a response with this fault.
+    /// The error kind for a caller whose target's response failed in this way.
     pub const fn response_kind(self) -> ErrorKind {
         match self {
             Self::BodyTooLarge | Self::MemoryExhausted => ErrorKind::AnswerTooLarge,
--- a/crates/auburnbridge_http/src/head.rs
+++ b/crates/auburnbridge_http/src/head.rs
@@ -1,15 +1,15 @@
-//! Parsing and checking of message heads.
+//! Parsing and validation of message heads.
 //!
-//! `httparse` splits a head into lines, names and values. It accepts bare line feeds and leaves
-//! the meaning of the headers to its caller, so the checks around it are here.
+//! `httparse` splits a head into lines, names and values. It accepts bare line feeds and doesn't
+//! interpret headers, so this module validates line endings and headers.
 
 use httparse::{EMPTY_HEADER, Error as ParserError, Status};
 
-use crate::fields::Fields;
+use crate::hop_by_hop::MessageHeaders;
 use crate::limits::MAX_HEADERS;
 use crate::{FramingError, Headers, Limits, RequestInfo, Response, Verdict};
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
     /// There is no body.
@@ -18,7 +18,7 @@
     Sized(u64),
     /// The body is chunked.
     Chunked,
-    /// The body ends with the connection.
+    /// The body ends at the end of the stream.
     UntilClose,
 }
 
@@ -41,9 +41,9 @@
     pub(crate) verdict: Verdict,
 }
 
-/// Finds the end of the head in `buf`, checking the line endings from `from` on.
+/// Finds the end of the head in `buf` and validates the line endings from `from` on.
 ///
-/// `from` is a position up to which an earlier call has checked.
+/// `from` is the position up to which an earlier call has scanned.
 pub(crate) fn find_head_end(buf: &[u8], from: usize) -> Result<Option<usize>, FramingError> {
     for at in from..buf.len() {
         match buf[at] {
@@ -62,12 +62,12 @@
     head: &[u8],
     limits: &Limits,
 ) -> Result<RequestHead, FramingError> {
-    let mut table = [EMPTY_HEADER; MAX_HEADERS];
-    let mut parsed = httparse::Request::new(&mut table[..limits.headers]);
+    let mut header_table = [EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut header_table[..limits.max_headers]);
     match parsed.parse(head) {
         Ok(Status::Complete(length)) if length == head.len() => {}
         Ok(_) => return Err(FramingError::StartLine),
-        Err(error) => return Err(classify(error, head)),
+        Err(error) => return Err(to_framing_error(error, head)),
     }
     let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version)
     else {
@@ -76,9 +76,9 @@
     if method == "CONNECT" {
         return Err(FramingError::Method);
     }
-    let fields = Fields::collect(parsed.headers, version, head.len())?;
+    let fields = MessageHeaders::from_fields(parsed.headers, version, head.len())?;
     let host = find_host(parsed.headers)?;
-    let path = check_target(method, target, host)?;
+    let path = validate_target(method, target, host)?;
     if version == 1 && host.is_none() {
         return Err(FramingError::HostMissing);
     }
@@ -91,7 +91,7 @@
         method: method.to_owned(),
         path: path.to_owned(),
         framing,
-        expects_continue: find_expectation(parsed.headers)? && version == 1,
+        expects_continue: parse_expect(parsed.headers)? && version == 1,
         verdict: fields.verdict(),
         headers: fields.headers,
     })
@@ -103,12 +103,12 @@
     info: RequestInfo,
     limits: &Limits,
 ) -> Result<ResponseHead, FramingError> {
-    let mut table = [EMPTY_HEADER; MAX_HEADERS];
-    let mut parsed = httparse::Response::new(&mut table[..limits.headers]);
+    let mut header_table = [EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Response::new(&mut header_table[..limits.max_headers]);
     match parsed.parse(head) {
         Ok(Status::Complete(length)) if length == head.len() => {}
         Ok(_) => return Err(FramingError::StartLine),
-        Err(error) => return Err(classify(error, head)),
+        Err(error) => return Err(to_framing_error(error, head)),
     }
     let (Some(status), Some(version)) = (parsed.code, parsed.version) else {
         return Err(FramingError::StartLine);
@@ -119,7 +119,7 @@
     if status == 101 {
         return Err(FramingError::UpgradeUnrequested);
     }
-    let fields = Fields::collect(parsed.headers, version, head.len())?;
+    let fields = MessageHeaders::from_fields(parsed.headers, version, head.len())?;
     let mut verdict = fields.verdict();
     let mut announced_length = None;
     let framing = if Response::is_bodiless(status, info) {
@@ -127,7 +127,7 @@
         if announces_body && !info.is_head && status != 304 {
             return Err(FramingError::BodyForbidden);
         }
-        // A target that sends a body by mistake would have it read as the next answer.
+        // If the target sends a body by mistake, it would be read as the next response.
         if announces_body || (info.is_head && fields.length != Some(0)) {
             verdict = Verdict::Retire;
         }
@@ -140,11 +140,11 @@
             (_, true) => Framing::Chunked,
             (Some(0), false) => Framing::Empty,
             (Some(length), false) => Framing::Sized(length),
-            (None, false) if limits.accepts_unframed => {
+            (None, false) if limits.accepts_unframed_responses => {
                 verdict = Verdict::Retire;
                 Framing::UntilClose
             }
-            // A body up to the end of the connection can't be told from a truncated one.
+            // A body that ends with the connection can't be distinguished from a truncated one.
             (None, false) => return Err(FramingError::LengthMissing),
         }
     };
@@ -157,17 +157,17 @@
     })
 }
 
-/// Checks the lines of a trailer section that ends in an empty line. The trailers are dropped.
-pub(crate) fn check_trailers(section: &[u8], limits: &Limits) -> Result<(), FramingError> {
-    let mut table = [EMPTY_HEADER; MAX_HEADERS];
-    match httparse::parse_headers(section, &mut table[..limits.headers]) {
+/// Validates a trailer section that ends in an empty line. The trailers are discarded.
+pub(crate) fn validate_trailers(section: &[u8], limits: &Limits) -> Result<(), FramingError> {
+    let mut header_table = [EMPTY_HEADER; MAX_HEADERS];
+    match httparse::parse_headers(section, &mut header_table[..limits.max_headers]) {
         Ok(Status::Complete((length, _))) if length == section.len() => Ok(()),
         Ok(_) => Err(FramingError::HeaderName),
-        Err(error) => Err(classify_fields(error, section)),
+        Err(error) => Err(header_framing_error(error, section)),
     }
 }
 
-/// Finds the single `Host`, which may be empty.
+/// Returns the value of the only `Host` header, which may be empty.
 fn find_host<'a>(fields: &[httparse::Header<'a>]) -> Result<Option<&'a str>, FramingError> {
     let mut hosts = fields
         .iter()
@@ -187,8 +187,8 @@
         .ok_or(FramingError::HostInvalid)
 }
 
-/// Whether the request waits for an interim response before it sends its body.
-fn find_expectation(fields: &[httparse::Header<'_>]) -> Result<bool, FramingError> {
+/// Whether the caller waits for `100 Continue` before it sends the body.
+fn parse_expect(fields: &[httparse::Header<'_>]) -> Result<bool, FramingError> {
     let mut is_expected = false;
     for field in fields {
         if !field.name.eq_ignore_ascii_case("expect") {
@@ -202,16 +202,16 @@
     Ok(is_expected)
 }
 
-/// Checks the request target and gives its path and query.
-fn check_target<'a>(
+/// Validates the request target and returns its path and query.
+fn validate_target<'a>(
     method: &str,
     target: &'a str,
     host: Option<&str>,
 ) -> Result<&'a str, FramingError> {
-    let is_visible = target
+    let is_valid = target
         .bytes()
         .all(|byte| byte.is_ascii_graphic() && byte != b'#');
-    if !is_visible {
+    if !is_valid {
         return Err(FramingError::RequestTarget);
     }
     if target.starts_with('/') || (target == "*" && method == "OPTIONS") {
@@ -229,16 +229,16 @@
     }
 }
 
-fn classify(error: ParserError, head: &[u8]) -> FramingError {
+fn to_framing_error(error: ParserError, head: &[u8]) -> FramingError {
     let fields = head
         .windows(2)
         .position(|pair| pair == b"\r\n")
         .map_or(&[][..], |at| &head[at + 2..]);
-    classify_fields(error, fields)
+    header_framing_error(error, fields)
 }
 
-/// Names the rule behind a parser error; `fields` are the header lines.
-fn classify_fields(error: ParserError, fields: &[u8]) -> FramingError {
+/// Maps a parser error to the violated rule; `fields` are the header lines.
+fn header_framing_error(error: ParserError, fields: &[u8]) -> FramingError {
     match error {
         ParserError::Version => FramingError::Version,
         ParserError::TooManyHeaders => FramingError::TooManyHeaders,
@@ -247,7 +247,7 @@
         ParserError::NewLine => FramingError::LineEnding,
         ParserError::HeaderName | ParserError::HeaderValue => fields
             .split(|byte| *byte == b'\n')
-            .find_map(classify_line)
+            .find_map(header_line_error)
             .unwrap_or(if error == ParserError::HeaderName {
                 FramingError::HeaderName
             } else {
@@ -256,7 +256,7 @@
     }
 }
 
-fn classify_line(line: &[u8]) -> Option<FramingError> {
+fn header_line_error(line: &[u8]) -> Option<FramingError> {
     let is_blank = |byte: &u8| matches!(byte, b' ' | b'\t');
     if line.first().is_some_and(is_blank) {
         return Some(FramingError::FoldedHeader);
--- a/crates/auburnbridge_http/src/headers.rs
+++ b/crates/auburnbridge_http/src/headers.rs
@@ -2,18 +2,19 @@
 
 use std::fmt;
 
-const DELETE: u8 = 0x7f;
+const DEL: u8 = 0x7f;
 
 /// Headers in the order of the message, stored in one buffer to save an allocation per header.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Headers {
-    text: Vec<u8>,
-    fields: Vec<Field>,
+    buf: Vec<u8>,
+    fields: Vec<FieldEnds>,
 }
 
-/// Ends of a header's name and value in the buffer; the name starts where the last value ended.
+/// End positions of a header's name and value in the buffer; the name starts at the end of the
+/// previous value.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct Field {
+struct FieldEnds {
     name_end: usize,
     value_end: usize,
 }
@@ -26,7 +27,7 @@
 
     pub(crate) fn with_capacity(fields: usize, bytes: usize) -> Self {
         Self {
-            text: Vec::with_capacity(bytes),
+            buf: Vec::with_capacity(bytes),
             fields: Vec::with_capacity(fields),
         }
     }
@@ -45,9 +46,9 @@
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         let mut start = 0;
         self.fields.iter().map(move |field| {
-            let name = std::str::from_utf8(&self.text[start..field.name_end])
-                .expect("a header's name is checked to be a token when it is added");
-            let value = &self.text[field.name_end..field.value_end];
+            let name = std::str::from_utf8(&self.buf[start..field.name_end])
+                .expect("header names are validated as tokens when they are added");
+            let value = &self.buf[field.name_end..field.value_end];
             start = field.value_end;
             (name, value)
         })
@@ -67,8 +68,8 @@
 
     /// The first value of the header `name` as text.
     ///
-    /// A value that is not UTF-8 reads as empty, so that an unreadable header is not taken for an
-    /// absent one.
+    /// A value that is not UTF-8 is returned as an empty string, so that a malformed header is not
+    /// treated as absent.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.get(name)
             .map(|value| std::str::from_utf8(value).unwrap_or_default())
@@ -76,27 +77,27 @@
 
     /// Adds a header at the end.
     ///
-    /// Blanks and control characters at both ends of `value` are dropped; a control character
-    /// inside becomes a space, as RFC 9110 advises, so a value can't start another header.
+    /// Blanks and control characters at both ends of `value` are removed; a control character
+    /// inside it becomes a space, as RFC 9110 advises, so that a value can't inject another header.
     ///
     /// # Panics
     ///
-    /// Names are constants of the program; one that is not a token is a programming error.
+    /// Panics if `name` is not a token: names are constants, so that is a programming error.
     pub fn append(&mut self, name: &'static str, value: impl AsRef<[u8]>) {
         assert!(is_token(name.as_bytes()), "invalid header name {name:?}");
-        let is_text = |byte: &u8| *byte > b' ' && *byte != DELETE;
+        let is_kept = |byte: &u8| *byte > b' ' && *byte != DEL;
         let value = value.as_ref();
-        let start = value.iter().position(is_text).unwrap_or(value.len());
-        let end = value.iter().rposition(is_text).map_or(start, |at| at + 1);
-        let clean = value[start..end].iter().map(|byte| match byte {
+        let start = value.iter().position(is_kept).unwrap_or(value.len());
+        let end = value.iter().rposition(is_kept).map_or(start, |at| at + 1);
+        let sanitized = value[start..end].iter().map(|byte| match byte {
             b'\t' => b'\t',
-            0..b' ' | &DELETE => b' ',
+            0..b' ' | &DEL => b' ',
             _ => *byte,
         });
-        self.text.extend_from_slice(name.as_bytes());
-        let name_end = self.text.len();
-        self.text.extend(clean);
-        self.close_field(name_end);
+        self.buf.extend_from_slice(name.as_bytes());
+        let name_end = self.buf.len();
+        self.buf.extend(sanitized);
+        self.finish_field(name_end);
     }
 
     /// Replaces all headers `name` by one at the end.
@@ -110,30 +111,30 @@
         self.retain(|other| !other.eq_ignore_ascii_case(name));
     }
 
-    /// Keeps the headers whose name passes `keep`.
+    /// Keeps the headers for whose name `keep` returns `true`.
     pub fn retain(&mut self, mut keep: impl FnMut(&str) -> bool) {
         if self.iter().all(|(name, _)| keep(name)) {
             return;
         }
-        let mut kept = Self::with_capacity(self.fields.len(), self.text.len());
+        let mut kept = Self::with_capacity(self.fields.len(), self.buf.len());
         for (name, value) in self.iter().filter(|(name, _)| keep(name)) {
-            kept.push_checked(name, value);
+            kept.push_validated(name, value);
         }
         *self = kept;
     }
 
-    /// Adds a header whose name and value the parser has checked.
-    pub(crate) fn push_checked(&mut self, name: &str, value: &[u8]) {
-        self.text.extend_from_slice(name.as_bytes());
-        let name_end = self.text.len();
-        self.text.extend_from_slice(value);
-        self.close_field(name_end);
+    /// Adds a header whose name and value were already validated.
+    pub(crate) fn push_validated(&mut self, name: &str, value: &[u8]) {
+        self.buf.extend_from_slice(name.as_bytes());
+        let name_end = self.buf.len();
+        self.buf.extend_from_slice(value);
+        self.finish_field(name_end);
     }
 
-    fn close_field(&mut self, name_end: usize) {
-        self.fields.push(Field {
+    fn finish_field(&mut self, name_end: usize) {
+        self.fields.push(FieldEnds {
             name_end,
-            value_end: self.text.len(),
+            value_end: self.buf.len(),
         });
     }
 }
@@ -149,7 +150,7 @@
     }
 }
 
-/// Whether `text` is a token of RFC 9110.
+/// Whether `text` is a token as defined by RFC 9110.
 pub(crate) fn is_token(text: &[u8]) -> bool {
     !text.is_empty()
         && text
--- a/crates/auburnbridge_http/src/fields.rs
+++ b/crates/auburnbridge_http/src/hop_by_hop.rs
@@ -1,12 +1,12 @@
-//! Sorting of a head's headers into those to forward and those that concern the connection.
+//! Separation of a message's end-to-end headers from its hop-by-hop and framing headers.
 
 use httparse::Header;
 
 use crate::headers::is_token;
 use crate::{FramingError, Headers, Verdict};
 
-/// Headers that describe one connection or frame the body, and are never forwarded.
-const CONNECTION_HEADERS: [&str; 8] = [
+/// Headers that apply to one connection or frame the body, and are never forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "content-length",
     "expect",
@@ -17,12 +17,12 @@
     "upgrade",
 ];
 
-/// Prefix of the headers between a client and its next proxy, which are not forwarded either.
+/// Prefix of the headers between a client and the next proxy, which are not forwarded either.
 const PROXY_HEADER_PREFIX: &str = "proxy-";
 
-/// Headers that `Connection` may not name: a caller could otherwise remove what routing, accounts
-/// and the ledger depend on.
-const END_TO_END_HEADERS: [&str; 6] = [
+/// Headers that `Connection` must not name, since a caller could otherwise remove headers that
+/// routing, accounts and the ledger depend on.
+const PROTECTED_HEADERS: [&str; 6] = [
     "authorization",
     "cache-control",
     "content-length",
@@ -31,28 +31,28 @@
     "idempotency-key",
 ];
 
-/// Prefix of the headers of our own protocol, which `Connection` may not name either.
-const OWN_HEADER_PREFIX: &str = "auburnbridge-";
+/// Prefix of this proxy's own headers, which `Connection` must not name either.
+const PROTECTED_HEADER_PREFIX: &str = "auburnbridge-";
 
-/// Longest `Content-Length` text: the digits of the largest 64-bit number.
-const MAX_LENGTH_DIGITS: usize = 20;
+/// Decimal digits of the largest 64-bit number.
+const MAX_CONTENT_LENGTH_DIGITS: usize = 20;
 
-/// The headers of a head, sorted into those to forward and those that concern this connection.
-pub(crate) struct Fields {
+/// The end-to-end headers of a message, and what its other headers say about the connection.
+pub(crate) struct MessageHeaders {
     pub(crate) headers: Headers,
     pub(crate) length: Option<u64>,
     pub(crate) is_chunked: bool,
     closes: bool,
 }
 
-impl Fields {
-    pub(crate) fn collect(
+impl MessageHeaders {
+    pub(crate) fn from_fields(
         fields: &[Header<'_>],
         version: u8,
-        head_bytes: usize,
+        capacity_bytes: usize,
     ) -> Result<Self, FramingError> {
-        let mut sorted = Self {
-            headers: Headers::with_capacity(fields.len(), head_bytes),
+        let mut collected = Self {
+            headers: Headers::with_capacity(fields.len(), capacity_bytes),
             length: None,
             is_chunked: false,
             // HTTP/1.0 has no reliable keep-alive.
@@ -61,23 +61,23 @@
         let mut names_headers = false;
         for field in fields {
             let name = field.name;
-            if !is_connection_header(name) {
-                sorted.headers.push_checked(name, field.value);
+            if !is_hop_by_hop(name) {
+                collected.headers.push_validated(name, field.value);
             } else if name.eq_ignore_ascii_case("content-length") {
-                sorted.take_length(field.value)?;
+                collected.parse_content_length(field.value)?;
             } else if name.eq_ignore_ascii_case("transfer-encoding") {
-                sorted.take_coding(field.value, version)?;
+                collected.parse_transfer_encoding(field.value, version)?;
             } else if name.eq_ignore_ascii_case("connection") {
-                names_headers |= sorted.take_connection(field.value)?;
+                names_headers |= collected.parse_connection(field.value)?;
             }
         }
-        if sorted.is_chunked && sorted.length.is_some() {
+        if collected.is_chunked && collected.length.is_some() {
             return Err(FramingError::LengthAndCoding);
         }
         if names_headers {
-            sorted.drop_named(fields);
+            collected.remove_connection_named(fields);
         }
-        Ok(sorted)
+        Ok(collected)
     }
 
     pub(crate) fn verdict(&self) -> Verdict {
@@ -88,11 +88,11 @@
         }
     }
 
-    fn take_length(&mut self, value: &[u8]) -> Result<(), FramingError> {
+    fn parse_content_length(&mut self, value: &[u8]) -> Result<(), FramingError> {
         if self.length.is_some() {
             return Err(FramingError::LengthRepeated);
         }
-        if value.len() > MAX_LENGTH_DIGITS || !value.iter().all(u8::is_ascii_digit) {
+        if value.len() > MAX_CONTENT_LENGTH_DIGITS || !value.iter().all(u8::is_ascii_digit) {
             return Err(FramingError::LengthInvalid);
         }
         let length = std::str::from_utf8(value)
@@ -103,7 +103,7 @@
         Ok(())
     }
 
-    fn take_coding(&mut self, value: &[u8], version: u8) -> Result<(), FramingError> {
+    fn parse_transfer_encoding(&mut self, value: &[u8], version: u8) -> Result<(), FramingError> {
         if self.is_chunked || version == 0 || !value.eq_ignore_ascii_case(b"chunked") {
             return Err(FramingError::TransferCoding);
         }
@@ -111,11 +111,11 @@
         Ok(())
     }
 
-    /// Reads `Connection`; tells whether it names headers.
-    fn take_connection(&mut self, value: &[u8]) -> Result<bool, FramingError> {
+    /// Parses `Connection` and returns whether it names headers to remove.
+    fn parse_connection(&mut self, value: &[u8]) -> Result<bool, FramingError> {
         let mut names_headers = false;
         for option in connection_options(value) {
-            if !is_token(option) || is_end_to_end(option) {
+            if !is_token(option) || is_protected(option) {
                 return Err(FramingError::ConnectionOption);
             }
             if option.eq_ignore_ascii_case(b"close") {
@@ -127,7 +127,7 @@
         Ok(names_headers)
     }
 
-    fn drop_named(&mut self, fields: &[Header<'_>]) {
+    fn remove_connection_named(&mut self, fields: &[Header<'_>]) {
         let connection = || {
             fields
                 .iter()
@@ -140,9 +140,9 @@
     }
 }
 
-fn is_connection_header(name: &str) -> bool {
+fn is_hop_by_hop(name: &str) -> bool {
     has_prefix(name.as_bytes(), PROXY_HEADER_PREFIX)
-        || CONNECTION_HEADERS
+        || HOP_BY_HOP_HEADERS
             .iter()
             .any(|header| header.eq_ignore_ascii_case(name))
 }
@@ -152,9 +152,9 @@
         .is_some_and(|start| start.eq_ignore_ascii_case(prefix.as_bytes()))
 }
 
-fn is_end_to_end(option: &[u8]) -> bool {
-    has_prefix(option, OWN_HEADER_PREFIX)
-        || END_TO_END_HEADERS
+fn is_protected(option: &[u8]) -> bool {
+    has_prefix(option, PROTECTED_HEADER_PREFIX)
+        || PROTECTED_HEADERS
             .iter()
             .any(|header| option.eq_ignore_ascii_case(header.as_bytes()))
 }
--- a/crates/auburnbridge_http/src/lib.rs
+++ b/crates/auburnbridge_http/src/lib.rs
@@ -1,21 +1,21 @@
-//! HTTP/1.1 framing guard: reads and writes whole messages on a byte stream.
+//! HTTP/1.1 framing: reads and writes whole messages on a byte stream.
 //!
-//! A [`Connection`] gives whole messages or a [`FramingError`] that names the violated rule; there
-//! is no partial message. Where RFC 9112 lets a recipient choose between repair and rejection, the
-//! guard rejects, since a repaired message may be read differently by the next hop.
+//! A [`Connection`] returns whole messages or a [`FramingError`] that names the violated rule, and
+//! never a partial message. Where RFC 9112 lets a recipient either repair or reject a message, this
+//! crate rejects it, since the next hop may parse a repaired message differently.
 //!
-//! A parsed message holds end-to-end headers only. Headers that describe one connection, and the
-//! headers that frame the body, are dropped on reading and written anew on encoding, so no framing
-//! of a caller ever reaches a target.
+//! A parsed message holds end-to-end headers only. Hop-by-hop headers and the headers that frame
+//! the body are removed on reading and generated on encoding, so the framing of a caller never
+//! reaches a target.
 
 mod body;
 mod chunked;
 mod connection;
 mod encode;
 mod error;
-mod fields;
 mod head;
 mod headers;
+mod hop_by_hop;
 mod limits;
 mod message;
 
--- a/crates/auburnbridge_http/src/message.rs
+++ b/crates/auburnbridge_http/src/message.rs
@@ -1,11 +1,11 @@
-//! Whole messages.
+//! Whole requests and responses.
 
 use crate::{Body, Headers};
 
 /// Whether the connection may carry another message after this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The connection stands at the start of the next message.
+    /// The connection is at the start of the next message.
     Reuse,
     /// The connection must be closed.
     Retire,
@@ -39,7 +39,7 @@
     }
 }
 
-/// What the framing of a response depends on in its request.
+/// The properties of a request that the framing of its response depends on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestInfo {
     /// Whether the method is `HEAD`, whose response has no body.
@@ -63,7 +63,7 @@
     pub headers: Headers,
     /// The whole body.
     pub body: Body,
-    /// `Content-Length` of a response to `HEAD` or of a 304, which have no body.
+    /// `Content-Length` of a response without a body, to `HEAD` or with status 304.
     pub announced_length: Option<u64>,
     /// Whether the target's connection may carry another request.
     pub verdict: Verdict,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Whether a response of this status to this request has no body by definition.
+    /// Whether a response with this status to this request never has a body.
     pub(crate) fn is_bodiless(status: u16, info: RequestInfo) -> bool {
         info.is_head || status == 204 || status == 304 || status < 200
     }
--- a/crates/auburnbridge_http/tests/framing.rs
+++ b/crates/auburnbridge_http/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Guards the decision on every framing case: passed whole, or rejected by the rule it violates.
+//! Tests which messages are accepted and which are rejected, and by which framing rule.
 
 mod support;
 
@@ -10,26 +10,27 @@
 /// One case per line, as `name: bytes` with the escapes `\r`, `\n`, `\t` and `\xNN`.
 const REQUESTS: &str = include_str!("fixtures/requests.txt");
 
-/// Cases whose name starts with `HEAD` answer a `HEAD` request.
+/// Cases whose name starts with `HEAD` are responses to a `HEAD` request.
 const RESPONSES: &str = include_str!("fixtures/responses.txt");
 
-/// Guards against a changed decision on a framing case in a caller's request.
+/// Guards against accepting a malformed request, or rejecting a valid one.
 #[test]
 fn decisions_on_requests() {
     insta::assert_snapshot!(report(REQUESTS, request_of));
 }
 
-/// Guards against a changed decision on a framing case in a target's response.
+/// Guards against accepting a malformed response, or rejecting a valid one.
 #[test]
 fn decisions_on_responses() {
     insta::assert_snapshot!(report(RESPONSES, response_of));
 }
 
-/// Guards against a decision that depends on how the network splits the bytes into reads.
+/// Guards against a result that depends on how the network splits the bytes into reads.
 #[test]
-fn decisions_do_not_depend_on_splits() {
+fn decisions_are_independent_of_read_boundaries() {
     check_splits(REQUESTS, request_of, |request, _| request);
-    // Bytes beyond the end of a response that arrive later are found before the next use instead.
+    // Bytes beyond the end of a response may arrive later; they are found when the connection is
+    // used again.
     check_splits(RESPONSES, response_of, |mut response, has_leftover| {
         if has_leftover {
             response.verdict = Verdict::Retire;
@@ -38,11 +39,11 @@
     });
 }
 
-/// Guards against a message that is taken for whole although the connection closed inside it.
+/// Guards against accepting a message although the connection was closed inside it.
 #[test]
-fn a_cut_message_is_never_whole() {
-    check_cuts(REQUESTS, request_of);
-    check_cuts(RESPONSES, response_of);
+fn truncated_messages_are_rejected() {
+    check_truncations(REQUESTS, request_of);
+    check_truncations(RESPONSES, response_of);
 }
 
 fn request_of(_: &str, parts: Parts) -> Outcome<Request> {
@@ -84,7 +85,8 @@
     lines.join("\n")
 }
 
-/// Checks that each split gives the same result; `adjust` gets whether the whole has leftover bytes.
+/// Checks that each split gives the same result. `adjust` is told whether the unsplit read left
+/// bytes over.
 fn check_splits<M: Debug + PartialEq>(
     cases: &str,
     read: impl Fn(&str, Parts) -> Outcome<M>,
@@ -100,7 +102,7 @@
     }
 }
 
-fn check_cuts<M: Debug>(cases: &str, read: impl Fn(&str, Parts) -> Outcome<M>) {
+fn check_truncations<M: Debug>(cases: &str, read: impl Fn(&str, Parts) -> Outcome<M>) {
     for (name, raw) in parse_cases(cases) {
         let whole = read(name, Parts::whole(&raw));
         let length = raw.len() - whole.leftover.len();
@@ -112,7 +114,7 @@
                     | FramingError::ClosedInHead
                     | FramingError::ClosedInBody)
             );
-            assert!(is_closed, "{name} cut at {cut}: {result:?}");
+            assert!(is_closed, "{name} truncated at {cut}: {result:?}");
         }
     }
 }
--- a/crates/auburnbridge_http/tests/limits.rs
+++ b/crates/auburnbridge_http/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Guards interim responses and the bounds on memory.
+//! Tests `100 Continue`, the memory budget for bodies, and writes.
 
 mod support;
 
@@ -6,12 +6,12 @@
     Body, CONTINUE, FramingError, Limits, MemoryBudget, Request, RequestInfo, Response, Verdict,
 };
 use auburnbridge_types::ByteSize;
-use support::{Parts, read_request, read_response, small_limits, writes};
+use support::{Parts, count_writes, read_request, read_response, small_limits};
 
-/// Guards against a caller that waits for `100 Continue` for ever, and against one that is invited
-/// to send a body which is then rejected.
+/// Guards against a caller that waits forever for `100 Continue`, and against asking a caller for a
+/// body that is then rejected.
 #[test]
-fn continue_is_sent_only_for_an_awaited_and_acceptable_body() {
+fn continue_is_sent_only_for_an_expected_and_acceptable_body() {
     type Case = (
         &'static [&'static [u8]],
         Result<(), FramingError>,
@@ -52,9 +52,10 @@
     }
 }
 
-/// Guards against bodies that exceed the budget together, and against a budget that leaks.
+/// Guards against bodies that together exceed the budget, and against reservations that are not
+/// released.
 #[test]
-fn bodies_share_the_budget_and_give_it_back() {
+fn bodies_share_the_budget_and_release_it_on_drop() {
     let budget = MemoryBudget::new(ByteSize(10));
     let limits = Limits::default().with_budget(budget.clone());
     let sized = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n";
@@ -78,7 +79,8 @@
     assert_eq!(&*read(&[chunked]).unwrap().body, body);
 }
 
-/// Guards against a sender that announces much and holds the budget without sending.
+/// Guards against a sender that reserves the budget with a large `Content-Length` and sends
+/// nothing.
 #[test]
 fn the_budget_is_charged_as_bytes_arrive() {
     let budget = MemoryBudget::new(ByteSize(20_000));
@@ -88,19 +90,19 @@
     assert_eq!(outcome.message, Err(FramingError::ClosedInBody));
 }
 
-/// Guards against a message that goes out in several writes, and so in several packets.
+/// Guards against a message that is sent in several writes, and therefore in several packets.
 #[test]
-fn a_message_goes_out_in_one_write() {
+fn a_message_is_sent_in_one_write() {
     let mut request = Request::new("POST", "/slips");
     request.body = Body::from(vec![b'x'; 100_000]);
     assert_eq!(
-        writes(async |connection| connection.write_request(&request).await),
+        count_writes(async |connection| connection.write_request(&request).await),
         1
     );
     let mut response = Response::new(200);
     response.body = request.body.clone();
     let info = RequestInfo::default();
-    let count = writes(async |connection| {
+    let count = count_writes(async |connection| {
         connection
             .write_response(&response, info, Verdict::Reuse)
             .await
--- a/crates/auburnbridge_http/tests/round_trip.rs
+++ b/crates/auburnbridge_http/tests/round_trip.rs
@@ -1,4 +1,4 @@
-//! Properties of encoding and decoding over arbitrary messages and damaged streams.
+//! Property tests of encoding and decoding with arbitrary messages and corrupted streams.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use proptest::test_runner::RngSeed;
 use support::{Parts, read_request, read_response};
 
-/// Names that resemble those of framing and connection headers, but are ordinary.
+/// Ordinary header names that resemble those of framing and hop-by-hop headers.
 const NAMES: [&str; 7] = [
     "X-Trace",
     "Content-Lengths",
@@ -98,9 +98,9 @@
     Parts::of(&[front, back])
 }
 
-/// Replaces the byte at `at` and removes or doubles the one at `other`, which damages both content
-/// and framing.
-fn damage(raw: &mut Vec<u8>, at: Index, byte: u8, other: Index, removes: bool) {
+/// Replaces the byte at `at` and removes or duplicates the byte at `other`, which corrupts both
+/// content and framing.
+fn corrupt(raw: &mut Vec<u8>, at: Index, byte: u8, other: Index, removes: bool) {
     let at = at.index(raw.len());
     raw[at] = byte;
     let other = other.index(raw.len());
@@ -111,7 +111,8 @@
     }
 }
 
-/// Guards against a body after a response that has none, which would be read as the next response.
+/// Guards against sending a body with a response that has none; it would be read as the next
+/// response.
 #[test]
 fn bodiless_responses_are_encoded_without_their_body() {
     let cases = [
@@ -134,9 +135,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against an encoder and a decoder that disagree, in both directions.
+    /// Guards against an encoder and a decoder that disagree, for requests and responses.
     #[test]
-    fn decoding_gives_the_encoded_message(
+    fn decoding_returns_the_encoded_message(
         request in request(),
         (response, info) in response(),
         at in any::<Index>(),
@@ -150,9 +151,9 @@
         prop_assert!(outcome.leftover.is_empty());
     }
 
-    /// Guards against a truncated message that is taken for whole.
+    /// Guards against accepting a truncated message.
     #[test]
-    fn a_cut_stream_gives_no_message(
+    fn a_truncated_stream_is_rejected(
         request in request(),
         (response, info) in response(),
         at in any::<Index>(),
@@ -166,9 +167,9 @@
         prop_assert!(read_response(Parts::whole(cut), info, &limits).message.is_err());
     }
 
-    /// Guards against lost body bytes that go unnoticed before the connection closes.
+    /// Guards against accepting a body of which bytes were lost before the connection closed.
     #[test]
-    fn a_body_with_lost_bytes_gives_no_message(request in request(), at in any::<Index>()) {
+    fn a_body_with_lost_bytes_is_rejected(request in request(), at in any::<Index>()) {
         prop_assume!(!request.body.is_empty());
         let mut raw = encoded(&request);
         let body_start = raw.len() - request.body.len();
@@ -176,9 +177,9 @@
         prop_assert!(read_request(Parts::whole(&raw), &Limits::default()).message.is_err());
     }
 
-    /// Guards against a control character in a head that shifts its lines.
+    /// Guards against a control character that changes where the lines of a head end.
     #[test]
-    fn a_control_character_in_the_head_gives_no_message(
+    fn a_control_character_in_the_head_is_rejected(
         request in request(),
         at in any::<Index>(),
         byte in select(vec![0, 0x0b, 0x0c, b'\r', b'\n', 0x1b, 0x7f]),
@@ -191,8 +192,8 @@
         prop_assert!(read_request(Parts::whole(&raw), &Limits::default()).message.is_err());
     }
 
-    /// Guards against request smuggling: whatever a damaged stream is taken for, its forwarded form
-    /// is exactly one message, the same one, with one way to read its length.
+    /// Guards against request smuggling: a message accepted from a corrupted stream must be
+    /// forwarded as exactly one message, the same one, with an unambiguous length.
     #[test]
     fn an_accepted_message_is_forwarded_unambiguously(
         request in request(),
@@ -202,7 +203,7 @@
         let limits = Limits::default();
         let mut raw = encoded(&request);
         raw.extend(encoded(&other));
-        damage(&mut raw, at, byte, place, removes);
+        corrupt(&mut raw, at, byte, place, removes);
         let Ok(accepted) = read_request(Parts::whole(&raw), &limits).message else {
             return Ok(());
         };
@@ -217,7 +218,7 @@
         prop_assert_eq!(outcome.message, Ok(accepted));
     }
 
-    /// Guards against a response whose forwarded form ends elsewhere than the message.
+    /// Guards against a response that ends at another byte when it is forwarded.
     #[test]
     fn an_accepted_response_is_forwarded_unambiguously(
         (response, info) in response(),
@@ -225,7 +226,7 @@
     ) {
         let limits = Limits::default();
         let mut raw = encoded_response(&response, info);
-        damage(&mut raw, at, byte, place, removes);
+        corrupt(&mut raw, at, byte, place, removes);
         let Ok(accepted) = read_response(Parts::whole(&raw), info, &limits).message else {
             return Ok(());
         };
--- a/crates/auburnbridge_http/tests/support/mod.rs
+++ b/crates/auburnbridge_http/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A stream of given reads, and messages read from it.
+//! A stream with scripted reads, and messages read from it.
 
 #![allow(dead_code, reason = "each test file uses a part of this module")]
 
@@ -13,7 +13,7 @@
 use auburnbridge_http::{Connection, FramingError, Limits, Request, RequestInfo, Response};
 use auburnbridge_types::ByteSize;
 
-/// The reads that a stream gives before its end.
+/// The chunks of bytes that a stream returns, one per read, before its end.
 #[derive(Clone, Debug)]
 pub struct Parts(Vec<Vec<u8>>);
 
@@ -36,14 +36,14 @@
     }
 }
 
-/// A stream that gives the parts, one per read, and records what is written.
-pub struct Script {
+/// A stream that returns the parts, one per read, and records what is written.
+pub struct ScriptedStream {
     parts: VecDeque<Vec<u8>>,
     written: Vec<u8>,
     writes: usize,
 }
 
-impl Read for Script {
+impl Read for ScriptedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -62,7 +62,7 @@
     }
 }
 
-impl Write for Script {
+impl Write for ScriptedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -82,7 +82,7 @@
     }
 }
 
-/// What one read of a message gave.
+/// The result of reading one message, with the state of its connection.
 pub struct Outcome<M> {
     pub message: Result<M, FramingError>,
     pub leftover: Vec<u8>,
@@ -90,7 +90,7 @@
 }
 
 impl<M: Debug> Outcome<M> {
-    fn of(message: Result<M, FramingError>, connection: &Connection<Script>) -> Self {
+    fn of(message: Result<M, FramingError>, connection: &Connection<ScriptedStream>) -> Self {
         Self {
             message,
             leftover: connection.leftover().to_vec(),
@@ -110,7 +110,7 @@
     }
 }
 
-/// Limits small enough for the cases to reach them.
+/// Limits small enough for the test cases to exceed them.
 pub fn small_limits() -> Limits {
     Limits::default()
         .with_head_bytes(ByteSize(160))
@@ -118,8 +118,8 @@
         .with_body_bytes(ByteSize(32))
 }
 
-fn connection(parts: Parts) -> Connection<Script> {
-    Connection::new(Script {
+fn connection(parts: Parts) -> Connection<ScriptedStream> {
+    Connection::new(ScriptedStream {
         parts: parts.0.into(),
         written: Vec::new(),
         writes: 0,
@@ -138,9 +138,9 @@
     Outcome::of(message, &connection)
 }
 
-/// The number of writes to the stream that `write` makes.
-pub fn writes(
-    write: impl AsyncFnOnce(&mut Connection<Script>) -> Result<(), FramingError>,
+/// Counts the writes to the stream that `write` makes.
+pub fn count_writes(
+    write: impl AsyncFnOnce(&mut Connection<ScriptedStream>) -> Result<(), FramingError>,
 ) -> usize {
     let mut connection = connection(Parts(Vec::new()));
     task::block_on(write(&mut connection)).unwrap();
--- a/crates/auburnbridge_http/tests/unframed.rs
+++ b/crates/auburnbridge_http/tests/unframed.rs
@@ -1,5 +1,5 @@
-//! Guards responses whose body ends with their connection: whole after a close, broken after a
-//! reset, refused unless they were asked for.
+//! Tests responses whose body ends with the connection: accepted after a close, rejected after a
+//! reset, and rejected by default.
 
 use std::io;
 use std::pin::Pin;
@@ -10,7 +10,7 @@
 use auburnbridge_http::{Connection, FramingError, Limits, RequestInfo, Response, Verdict};
 use auburnbridge_types::ByteSize;
 
-/// Gives some bytes and then the end of the stream, or an error.
+/// A stream that returns some bytes and then its end, or an error.
 struct Stream {
     bytes: &'static [u8],
     end: Option<io::ErrorKind>,
@@ -22,7 +22,7 @@
         _cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        // Three bytes at a time cross the border between head and body.
+        // Reads of three bytes span the boundary between head and body.
         let count = self.bytes.len().min(buf.len()).min(3);
         if count == 0 {
             return Poll::Ready(self.end.map_or(Ok(0), |kind| Err(kind.into())));
@@ -33,15 +33,18 @@
     }
 }
 
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nX: 1\r\n\r\nwhole body";
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nX: 1\r\n\r\nwhole body";
 
 fn read(end: Option<io::ErrorKind>, limits: &Limits) -> Result<Response, FramingError> {
-    let mut connection = Connection::new(Stream { bytes: ANSWER, end });
+    let mut connection = Connection::new(Stream {
+        bytes: RESPONSE,
+        end,
+    });
     block_on(connection.read_response(RequestInfo::default(), limits))
 }
 
 #[test]
-fn unframed_body_is_whole_after_a_close() {
+fn unframed_body_is_accepted_after_a_close() {
     let limits = Limits::default().with_unframed_responses();
     let response = read(None, &limits).unwrap();
     assert_eq!(&*response.body, b"whole body");
@@ -49,14 +52,14 @@
 }
 
 #[test]
-fn unframed_body_is_broken_after_a_reset() {
+fn unframed_body_is_rejected_after_a_reset() {
     let limits = Limits::default().with_unframed_responses();
     let error = read(Some(io::ErrorKind::ConnectionReset), &limits).unwrap_err();
     assert_eq!(error, FramingError::Io(io::ErrorKind::ConnectionReset));
 }
 
 #[test]
-fn unframed_body_is_bounded() {
+fn unframed_body_is_limited() {
     let limits = Limits::default()
         .with_unframed_responses()
         .with_body_bytes(ByteSize(9));
@@ -64,7 +67,7 @@
 }
 
 #[test]
-fn unframed_body_is_refused_by_default() {
+fn unframed_body_is_rejected_by_default() {
     let error = read(None, &Limits::default()).unwrap_err();
     assert_eq!(error, FramingError::LengthMissing);
 }
