--- a/crates/auburnbridge_caller/src/disconnect.rs
+++ b/crates/auburnbridge_caller/src/disconnect.rs
@@ -1,17 +1,17 @@
-//! Signal that a caller has closed its connection while its request was handled.
+//! Notification that a caller closed its connection while its request was being handled.
 
 use async_channel::{Receiver, Sender};
 
-/// Waits for a caller to disconnect.
+/// Receiving end: waits for a caller to disconnect.
 #[derive(Clone, Debug)]
 pub struct Disconnect(Receiver<()>);
 
-/// Reports the disconnect of a caller.
+/// Sending end: reports that a caller has disconnected.
 #[derive(Debug)]
 pub struct DisconnectSignal(Sender<()>);
 
 impl Disconnect {
-    /// Creates the two ends.
+    /// Creates the sending and the receiving end.
     pub fn new() -> (DisconnectSignal, Self) {
         let (tx, rx) = async_channel::bounded(1);
         (DisconnectSignal(tx), Self(rx))
--- a/crates/auburnbridge_caller/src/lib.rs
+++ b/crates/auburnbridge_caller/src/lib.rs
@@ -1,8 +1,8 @@
 //! The listener for callers and the handling of each request.
 //!
-//! The listener accepts TCP connections, reads each request whole through the framing guard, hands
-//! it to a [`Service`] and writes the response in one write. It knows nothing of routes or targets.
-//! [`Lifecycle`] turns a stop of the process into a graceful shutdown of all connections.
+//! The listener accepts TCP connections, reads each request whole with `auburnbridge_http`, passes
+//! it to a [`Service`] and writes the response in one write. It is independent of routes and
+//! targets. [`Lifecycle`] coordinates the graceful shutdown of all connections.
 
 mod disconnect;
 mod lifecycle;
--- a/crates/auburnbridge_caller/src/lifecycle.rs
+++ b/crates/auburnbridge_caller/src/lifecycle.rs
@@ -1,9 +1,10 @@
 //! Phases of a graceful shutdown.
 //!
-//! `Serving` turns into `Draining` on the first signal: the readiness endpoint answers 503, and new
-//! requests are still served while the platform's balancer notices. `Closing` follows after the
-//! balancer's lag: no new connections, idle ones are closed, requests in flight are finished. Every
-//! request holds a [`TaskGuard`], and the last one to be dropped ends the wait.
+//! The first signal changes `Serving` to `Draining`: the readiness endpoint answers 503, and new
+//! requests are still served until the platform's load balancer notices. `Closing` follows after
+//! the load balancer's lag: no connections are accepted, idle ones are closed, and requests in
+//! flight are completed. Every request holds a [`TaskGuard`]; the wait ends when the last one is
+//! dropped.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
@@ -12,18 +13,18 @@
 
 use crate::tracker::{TaskGuard, TaskTracker};
 
-/// Phase of the process.
+/// Phase of a process in its graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// Ready for requests.
     Serving,
-    /// Not ready by the readiness endpoint, but still serving.
+    /// Reported as not ready, but still accepting connections and requests.
     Draining,
-    /// Finishing the requests in flight.
+    /// Completing the requests in flight, without accepting more.
     Closing,
 }
 
-/// Phase shared by all connections of a process.
+/// Shutdown phase and requests in flight, shared by all connections of a process.
 #[derive(Debug)]
 pub struct Lifecycle {
     phase: AtomicU8,
@@ -42,7 +43,7 @@
 }
 
 impl Lifecycle {
-    /// The present phase.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         match self.phase.load(Ordering::SeqCst) {
             0 => Phase::Serving,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Counts a request as in flight; `None` once the process finishes up.
+    /// Counts a request as in flight until the guard is dropped; `None` in the phase `Closing`.
     pub fn begin_request(&self) -> Option<TaskGuard> {
         self.requests.begin()
     }
@@ -61,13 +62,13 @@
         self.requests.running()
     }
 
-    /// Turns the readiness answer off.
+    /// Enters the phase `Draining`, in which the readiness endpoint answers 503.
     pub fn begin_draining(&self) {
         self.phase
             .fetch_max(Phase::Draining as u8, Ordering::SeqCst);
     }
 
-    /// Ends the acceptance of connections and requests.
+    /// Enters the phase `Closing`, in which no connections or requests are accepted.
     pub fn begin_closing(&self) {
         self.phase.store(Phase::Closing as u8, Ordering::SeqCst);
         self.requests.close();
@@ -79,7 +80,7 @@
         while self.closing.1.recv().await.is_ok() {}
     }
 
-    /// Waits until no request is in flight, at most for `limit`; gives the number that remain.
+    /// Waits until no request is in flight, at most for `limit`; returns the number that remain.
     ///
     /// Must follow [`Lifecycle::begin_closing`].
     pub async fn wait_idle(&self, clock: &dyn Clock, limit: Millis) -> usize {
--- a/crates/auburnbridge_caller/src/listener.rs
+++ b/crates/auburnbridge_caller/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and serves the requests on each, one after the other.
+//! Accepts connections and serves the requests on each connection in sequence.
 
 use std::net::{Shutdown, SocketAddr};
 use std::sync::Arc;
@@ -16,15 +16,15 @@
 
 use crate::{Disconnect, Lifecycle, LimitSource, Phase, Problem};
 
-/// Pause after a failed accept, such as on too many open files.
-const ACCEPT_PAUSE: Millis = Millis(20);
-/// Time that an idle connection stays readable after the shutdown began, so that a request that was
-/// already on its way gets an answer.
-pub(crate) const LINGER: Millis = Millis(500);
+/// Delay after a failed accept, for example because of too many open files.
+const ACCEPT_RETRY_DELAY: Millis = Millis(20);
+/// Time for which an idle connection is still read after the shutdown began, so that a request in
+/// transit gets a response, and for which a closed connection's input is drained.
+pub(crate) const LINGER_TIMEOUT: Millis = Millis(500);
 
 /// Handles whole requests.
 pub trait Service: Send + Sync + 'static {
-    /// Gives the response to `req`; `disconnect` tells when the caller goes away.
+    /// Returns the response to `req`; `disconnect` completes when the caller disconnects.
     fn respond(
         &self,
         req: Request,
@@ -73,7 +73,7 @@
         self
     }
 
-    /// Sets the clock.
+    /// Sets the clock for all timeouts.
     #[must_use]
     pub fn clock(mut self, clock: Arc<dyn Clock>) -> Self {
         self.0.clock = clock;
@@ -87,29 +87,29 @@
         self
     }
 
-    /// Sets the time within which a request must arrive whole.
+    /// Sets the time within which a whole request must arrive.
     #[must_use]
     pub fn request_timeout(mut self, timeout: Millis) -> Self {
         self.0.request_timeout = timeout;
         self
     }
 
-    /// Sets the time within which a response must be taken.
+    /// Sets the time within which the caller must accept a whole response.
     #[must_use]
     pub fn write_timeout(mut self, timeout: Millis) -> Self {
         self.0.write_timeout = timeout;
         self
     }
 
-    /// Sets the number of connections beyond which new ones are closed at once.
+    /// Sets the number of connections beyond which new ones are closed immediately.
     #[must_use]
     pub fn connection_limit(mut self, limit: usize) -> Self {
         self.0.connection_limit = limit;
         self
     }
 
-    /// Handles up to this many requests of a connection at the same time, under limits that may change
-    /// meanwhile; without it they are handled one after the other.
+    /// Handles up to this many requests of a connection concurrently, with limits that may change
+    /// while it is open. By default, requests are handled in sequence.
     #[must_use]
     pub fn pipelined(mut self, depth: usize, limits: Arc<dyn LimitSource>) -> Self {
         self.0.pipeline_depth = depth.max(1);
@@ -117,19 +117,19 @@
         self
     }
 
-    /// The finished options.
+    /// Returns the options.
     pub fn build(self) -> ListenerOptions {
         self.0
     }
 }
 
-/// A listening socket with its service.
+/// A listening socket and the service that handles its requests.
 pub struct Listener {
     socket: TcpListener,
-    shared: Arc<Shared>,
+    state: Arc<ListenerState>,
 }
 
-pub(crate) struct Shared {
+pub(crate) struct ListenerState {
     pub(crate) service: Arc<dyn Service>,
     pub(crate) lifecycle: Arc<Lifecycle>,
     pub(crate) options: ListenerOptions,
@@ -146,7 +146,7 @@
     ) -> std::io::Result<Self> {
         Ok(Self {
             socket: TcpListener::bind(address).await?,
-            shared: Arc::new(Shared {
+            state: Arc::new(ListenerState {
                 service,
                 lifecycle,
                 options,
@@ -155,7 +155,7 @@
         })
     }
 
-    /// The address it listens on.
+    /// The local address of the socket.
     pub fn local_address(&self) -> std::io::Result<SocketAddr> {
         self.socket.local_addr()
     }
@@ -164,56 +164,57 @@
     pub async fn run(self) {
         let accept = async {
             loop {
-                self.accept_one().await;
+                self.accept_connection().await;
             }
         };
-        accept.or(self.shared.lifecycle.wait_closing()).await;
+        accept.or(self.state.lifecycle.wait_closing()).await;
     }
 
-    async fn accept_one(&self) {
+    async fn accept_connection(&self) {
         let (stream, caller) = match self.socket.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
                 warn!("can't accept a connection: {error}");
-                self.shared.options.clock.sleep(ACCEPT_PAUSE).await;
+                self.state.options.clock.sleep(ACCEPT_RETRY_DELAY).await;
                 return;
             }
         };
-        let shared = Arc::clone(&self.shared);
-        if shared.connections.fetch_add(1, Ordering::SeqCst) >= shared.options.connection_limit {
-            shared.connections.fetch_sub(1, Ordering::SeqCst);
+        let state = Arc::clone(&self.state);
+        if state.connections.fetch_add(1, Ordering::SeqCst) >= state.options.connection_limit {
+            state.connections.fetch_sub(1, Ordering::SeqCst);
             warn!("closed the connection of {caller}: the connection limit is reached");
             return;
         }
         task::spawn(async move {
-            // Without it small responses wait for the peer's delayed acknowledgement, about 40 ms.
+            // With Nagle's algorithm, small responses wait about 40 ms for the peer's delayed ACK.
             if let Err(error) = stream.set_nodelay(true) {
                 debug!("can't set TCP_NODELAY for {caller}: {error}");
             }
-            match &shared.options.limit_source {
+            match &state.options.limit_source {
                 Some(limits) => {
                     let limits = Arc::clone(limits);
-                    shared.serve_pipelined(stream, caller, &*limits).await;
+                    state.serve_pipelined(stream, caller, &*limits).await;
                 }
                 None => {
-                    shared
+                    state
                         .serve_connection(Connection::new(stream), caller)
                         .await;
                 }
             }
-            shared.connections.fetch_sub(1, Ordering::SeqCst);
+            state.connections.fetch_sub(1, Ordering::SeqCst);
         });
     }
 }
 
-enum Idle {
-    Bytes,
-    Over,
+/// How the wait for a request ended.
+enum IdleOutcome {
+    RequestStarted,
+    ConnectionEnded,
 }
 
-impl Shared {
+impl ListenerState {
     async fn serve_connection(&self, mut connection: Connection<TcpStream>, caller: SocketAddr) {
-        while let Idle::Bytes = self.wait_for_request(&mut connection).await {
+        while let IdleOutcome::RequestStarted = self.wait_for_request(&mut connection).await {
             match self.serve_request(&mut connection, caller).await {
                 Verdict::Reuse => {}
                 Verdict::Retire => break,
@@ -222,22 +223,22 @@
         close_gracefully(&mut connection, self.options.clock.as_ref()).await;
     }
 
-    async fn wait_for_request(&self, connection: &mut Connection<TcpStream>) -> Idle {
+    async fn wait_for_request(&self, connection: &mut Connection<TcpStream>) -> IdleOutcome {
         let clock = &self.options.clock;
         let bytes = async {
             match connection.wait_for_bytes().await {
-                Ok(true) => Idle::Bytes,
-                Ok(false) | Err(_) => Idle::Over,
+                Ok(true) => IdleOutcome::RequestStarted,
+                Ok(false) | Err(_) => IdleOutcome::ConnectionEnded,
             }
         };
         let idle = async {
             clock.sleep(self.options.idle_timeout).await;
-            Idle::Over
+            IdleOutcome::ConnectionEnded
         };
         let closing = async {
             self.lifecycle.wait_closing().await;
-            clock.sleep(LINGER).await;
-            Idle::Over
+            clock.sleep(LINGER_TIMEOUT).await;
+            IdleOutcome::ConnectionEnded
         };
         bytes.or(idle).or(closing).await
     }
@@ -261,7 +262,7 @@
             }
         };
         let info = RequestInfo::from(&req);
-        let asked = req.verdict;
+        let requested_verdict = req.verdict;
         let Some(_in_flight) = self.lifecycle.begin_request() else {
             let response = Problem::new(ErrorKind::ShuttingDown, "the entry is shutting down")
                 .for_possible_resend()
@@ -273,17 +274,17 @@
         };
         let response = self.respond(connection, req, caller).await;
         let verdict = if self.lifecycle.phase() == Phase::Serving {
-            asked
+            requested_verdict
         } else {
             Verdict::Retire
         };
-        // A caller that reads nothing would hold the request, and with it a planned stop.
+        // A caller that reads nothing would keep the request in flight and delay a shutdown.
         let write = connection.write_response(&response, info, verdict);
-        let late = async {
+        let timer = async {
             self.options.clock.sleep(self.options.write_timeout).await;
             Err(FramingError::Io(std::io::ErrorKind::TimedOut))
         };
-        match write.or(late).await {
+        match write.or(timer).await {
             Ok(()) => verdict,
             Err(error) => {
                 debug!("can't write the response to {caller}: {error}");
@@ -292,7 +293,7 @@
         }
     }
 
-    /// Reads a request within `timeout`; an error without a kind gets no answer.
+    /// Reads a request within `timeout`; an error without a kind gets no response.
     pub(crate) async fn read_request(
         &self,
         connection: &mut Connection<TcpStream>,
@@ -309,22 +310,22 @@
                     error.request_kind()
                 })
         };
-        let late = async {
+        let timer = async {
             self.options.clock.sleep(timeout).await;
             Err(Some(ErrorKind::RequestTimeout))
         };
-        read.or(late).await
+        read.or(timer).await
     }
 
-    /// Runs the service while watching the connection for the caller's disconnect.
+    /// Runs the service and watches the connection for the caller's disconnect.
     async fn respond(
         &self,
         connection: &mut Connection<TcpStream>,
         req: Request,
         caller: SocketAddr,
     ) -> Response {
-        // A caller that asked to close after this response may have closed its sending side
-        // already, which is not a disconnect.
+        // A caller that asked to close the connection after this response may already have closed
+        // its sending side, which is not a disconnect.
         let may_half_close = req.verdict == Verdict::Retire;
         let (signal, disconnect) = Disconnect::new();
         let watch = async {
@@ -343,8 +344,8 @@
     }
 }
 
-/// The response to a request that could not be read. It may be a resend of one that ran: its key is
-/// unknown, and another process may have other limits.
+/// The response to a request that could not be read. The request may be a resend of one that ran:
+/// its idempotency key is unknown, and another process may have other limits.
 pub(crate) fn unread_response(kind: ErrorKind) -> Response {
     Problem::new(kind, "the request could not be read")
         .for_possible_resend()
@@ -355,14 +356,14 @@
 async fn close_gracefully(connection: &mut Connection<TcpStream>, clock: &dyn Clock) {
     let stream = connection.get_mut();
     if stream.shutdown(Shutdown::Write).is_ok() {
-        drain(stream, clock).await;
+        drain_input(stream, clock).await;
     }
 }
 
-/// Reads what is on its way, so that the kernel doesn't reset the connection before the caller has
-/// read the last response.
-pub(crate) async fn drain(stream: &mut TcpStream, clock: &dyn Clock) {
+/// Reads and discards input in transit, since the kernel would otherwise reset the connection
+/// before the caller has read the last response.
+pub(crate) async fn drain_input(stream: &mut TcpStream, clock: &dyn Clock) {
     let mut buf = [0; 1024];
     let reading = async { while let Ok(1..) = stream.read(&mut buf).await {} };
-    reading.or(clock.sleep(LINGER)).await;
+    reading.or(clock.sleep(LINGER_TIMEOUT)).await;
 }
--- a/crates/auburnbridge_caller/src/pipeline.rs
+++ b/crates/auburnbridge_caller/src/pipeline.rs
@@ -1,10 +1,11 @@
-//! Connections whose requests are handled at the same time and answered in their order.
+//! HTTP pipelining: the requests of a connection are handled concurrently and answered in order.
 //!
-//! One half reads requests ahead, the other writes the answers in turn. Reading goes on while
-//! requests are handled, so that a caller's disconnect is seen whatever it has sent ahead.
+//! One future reads requests ahead, another writes the responses in request order. Reading
+//! continues while requests are handled, so that a caller's disconnect is noticed even behind
+//! requests that it sent ahead.
 //!
-//! A connection is closed only behind its last answer: a request that was taken is answered on it,
-//! and one that crosses the close is dropped before it is handed on.
+//! A connection is closed only after its last response: a dispatched request is answered on it, and
+//! a request that arrives while it is closing is dropped before it reaches the service.
 
 use std::net::{Shutdown, SocketAddr};
 use std::sync::Arc;
@@ -23,60 +24,62 @@
 use log::debug;
 
 use crate::disconnect::DisconnectSignal;
-use crate::listener::{LINGER, Shared, drain, unread_response};
+use crate::listener::{LINGER_TIMEOUT, ListenerState, drain_input, unread_response};
 use crate::tracker::TaskGuard;
 use crate::{Disconnect, Phase, Problem};
 
-/// Interval at which the reading half looks whether all answers are written.
-const RECHECK: Millis = Millis(50);
+/// Interval at which the reader checks whether all responses are written.
+const PENDING_CHECK_INTERVAL: Millis = Millis(50);
 
 /// Limits that may change while connections are open.
 pub trait LimitSource: Send + Sync {
-    /// Limits of one request.
+    /// Limits on one request.
     fn limits(&self) -> Limits;
 
-    /// Time between the first byte of a request and the end of its head, or of a step of its body.
+    /// Time from the first byte of a request within which the whole request must arrive.
     fn request_timeout(&self) -> Millis;
 
     /// Time after which a connection without a request is closed.
     fn idle_timeout(&self) -> Millis;
 }
 
-/// A request whose answer is due.
-struct Due {
+/// A request whose response is not written yet.
+struct PendingResponse {
     info: RequestInfo,
-    asked: Verdict,
-    answer: Receiver<Response>,
+    /// `Retire` if the connection must close after this response.
+    requested_verdict: Verdict,
+    response_rx: Receiver<Response>,
     _guard: Option<TaskGuard>,
 }
 
-/// State that both halves of a connection share.
+/// State shared by the reader and the writer of a connection.
 #[derive(Default)]
-struct Halves {
-    /// Requests whose answers are not written yet.
-    due: AtomicUsize,
-    /// Whether the last answer closes the connection: no further request is taken.
+struct PipelineState {
+    /// Number of requests whose responses are not written yet.
+    pending: AtomicUsize,
+    /// Whether the connection closes after the last response; no further request is dispatched.
     is_closing: AtomicBool,
 }
 
-enum Next {
-    Request,
-    Over,
+/// How the wait for the next request ended.
+enum NextEvent {
+    RequestStarted,
+    ConnectionEnded,
 }
 
-impl Shared {
+impl ListenerState {
     pub(crate) async fn serve_pipelined(
         &self,
         mut stream: TcpStream,
         caller: SocketAddr,
         limits: &dyn LimitSource,
     ) {
-        let (due_tx, due_rx) = async_channel::bounded(self.options.pipeline_depth);
-        let halves = Halves::default();
-        let reading = self.read_requests(stream.clone(), caller, limits, due_tx, &halves);
-        let writing = self.write_answers(stream.clone(), caller, due_rx, &halves);
+        let (pending_tx, pending_rx) = async_channel::bounded(self.options.pipeline_depth);
+        let state = PipelineState::default();
+        let reading = self.read_requests(stream.clone(), caller, limits, pending_tx, &state);
+        let writing = self.write_responses(stream.clone(), caller, pending_rx, &state);
         zip(reading, writing).await;
-        drain(&mut stream, self.options.clock.as_ref()).await;
+        drain_input(&mut stream, self.options.clock.as_ref()).await;
     }
 
     async fn read_requests(
@@ -84,62 +87,64 @@
         stream: TcpStream,
         caller: SocketAddr,
         limits: &dyn LimitSource,
-        due: Sender<Due>,
-        halves: &Halves,
+        pending_tx: Sender<PendingResponse>,
+        state: &PipelineState,
     ) {
         let mut connection = Connection::new(stream);
         let (signal, disconnect) = Disconnect::new();
         loop {
-            match self.wait_for_next(&mut connection, limits, halves).await {
-                Next::Request => {}
-                Next::Over => break,
+            match self.wait_for_next(&mut connection, limits, state).await {
+                NextEvent::RequestStarted => {}
+                NextEvent::ConnectionEnded => break,
             }
             let (request_limits, timeout) = (limits.limits(), limits.request_timeout());
             let read = self.read_request(&mut connection, caller, &request_limits, timeout);
-            let taken = match read.await {
-                Ok(req) => self.take(req, caller, &disconnect, halves),
-                Err(Some(kind)) => Some(refuse_unread(kind, halves)),
+            let pending_response = match read.await {
+                Ok(req) => self.dispatch(req, caller, &disconnect, state),
+                Err(Some(kind)) => Some(reject_unread(kind, state)),
                 Err(None) => break,
             };
-            let Some(taken) = taken else {
+            let Some(pending_response) = pending_response else {
                 break;
             };
-            let asked = taken.asked;
-            if due.send(taken).await.is_err() || asked == Verdict::Retire {
+            let requested_verdict = pending_response.requested_verdict;
+            if pending_tx.send(pending_response).await.is_err()
+                || requested_verdict == Verdict::Retire
+            {
                 break;
             }
         }
-        drop(due);
-        self.watch_for_disconnect(&mut connection, &signal, halves)
+        drop(pending_tx);
+        self.watch_for_disconnect(&mut connection, &signal, state)
             .await;
     }
 
-    /// Waits for the first byte of a request while the connection is kept.
+    /// Waits for the first byte of a request, or for the end of the connection.
     async fn wait_for_next(
         &self,
         connection: &mut Connection<TcpStream>,
         limits: &dyn LimitSource,
-        halves: &Halves,
-    ) -> Next {
+        state: &PipelineState,
+    ) -> NextEvent {
         loop {
-            if halves.is_closing.load(Ordering::SeqCst) {
-                return Next::Over;
+            if state.is_closing.load(Ordering::SeqCst) {
+                return NextEvent::ConnectionEnded;
             }
             let bytes = async {
                 match connection.wait_for_bytes().await {
-                    Ok(true) => Some(Next::Request),
-                    Ok(false) | Err(_) => Some(Next::Over),
+                    Ok(true) => Some(NextEvent::RequestStarted),
+                    Ok(false) | Err(_) => Some(NextEvent::ConnectionEnded),
                 }
             };
             let idle = async {
                 self.options.clock.sleep(limits.idle_timeout()).await;
-                let is_idle = halves.due.load(Ordering::SeqCst) == 0;
-                is_idle.then_some(Next::Over)
+                let is_idle = state.pending.load(Ordering::SeqCst) == 0;
+                is_idle.then_some(NextEvent::ConnectionEnded)
             };
             let closing = async {
                 self.lifecycle.wait_closing().await;
-                self.options.clock.sleep(LINGER).await;
-                Some(Next::Over)
+                self.options.clock.sleep(LINGER_TIMEOUT).await;
+                Some(NextEvent::ConnectionEnded)
             };
             if let Some(next) = bytes.or(idle).or(closing).await {
                 return next;
@@ -147,29 +152,29 @@
         }
     }
 
-    /// Hands a request to the service, unless it crossed the close of its connection.
-    fn take(
+    /// Passes a request to the service, unless the connection is already closing.
+    fn dispatch(
         &self,
         req: Request,
         caller: SocketAddr,
         disconnect: &Disconnect,
-        halves: &Halves,
-    ) -> Option<Due> {
-        halves.due.fetch_add(1, Ordering::SeqCst);
-        if halves.is_closing.load(Ordering::SeqCst) {
-            halves.due.fetch_sub(1, Ordering::SeqCst);
+        state: &PipelineState,
+    ) -> Option<PendingResponse> {
+        state.pending.fetch_add(1, Ordering::SeqCst);
+        if state.is_closing.load(Ordering::SeqCst) {
+            state.pending.fetch_sub(1, Ordering::SeqCst);
             return None;
         }
-        let (tx, answer) = async_channel::bounded(1);
+        let (tx, response_rx) = async_channel::bounded(1);
         let info = RequestInfo::from(&req);
-        let asked = req.verdict;
+        let requested_verdict = req.verdict;
         let Some(guard) = self.lifecycle.begin_request() else {
             let problem = Problem::new(ErrorKind::ShuttingDown, "the process is shutting down");
-            send_answer(&tx, problem.for_possible_resend().to_response());
-            return Some(Due {
+            send_response(&tx, problem.for_possible_resend().to_response());
+            return Some(PendingResponse {
                 info,
-                asked: Verdict::Retire,
-                answer,
+                requested_verdict: Verdict::Retire,
+                response_rx,
                 _guard: None,
             });
         };
@@ -177,38 +182,38 @@
         let disconnect = disconnect.clone();
         task::spawn(async move {
             let response = service.respond(req, caller, disconnect).await;
-            send_answer(&tx, response);
+            send_response(&tx, response);
         });
-        Some(Due {
+        Some(PendingResponse {
             info,
-            asked,
-            answer,
+            requested_verdict,
+            response_rx,
             _guard: Some(guard),
         })
     }
 
-    async fn write_answers(
+    async fn write_responses(
         &self,
         mut stream: TcpStream,
         caller: SocketAddr,
-        due: Receiver<Due>,
-        halves: &Halves,
+        pending_rx: Receiver<PendingResponse>,
+        state: &PipelineState,
     ) {
         let mut closing = Shutdown::Both;
-        while let Ok(next) = due.recv().await {
-            let Ok(response) = next.answer.recv().await else {
+        while let Ok(next) = pending_rx.recv().await {
+            let Ok(response) = next.response_rx.recv().await else {
                 break;
             };
-            let verdict = self.verdict(next.asked, halves);
+            let verdict = self.next_verdict(next.requested_verdict, state);
             let mut buf = Vec::new();
             encode_response(&response, next.info, verdict, &mut buf);
             let write = async { stream.write_all(&buf).await };
-            let late = async {
+            let timer = async {
                 self.options.clock.sleep(self.options.write_timeout).await;
                 Err(std::io::ErrorKind::TimedOut.into())
             };
-            let written = write.or(late).await;
-            halves.due.fetch_sub(1, Ordering::SeqCst);
+            let written = write.or(timer).await;
+            state.pending.fetch_sub(1, Ordering::SeqCst);
             if let Err(error) = written {
                 debug!("can't write the response to {caller}: {error}");
                 break;
@@ -218,21 +223,22 @@
                 break;
             }
         }
-        halves.is_closing.store(true, Ordering::SeqCst);
-        // Closing both directions also ends the reading half.
+        state.is_closing.store(true, Ordering::SeqCst);
+        // Closing both directions also ends the reader.
         if let Err(error) = stream.shutdown(closing) {
             debug!("can't close the connection of {caller}: {error}");
         }
     }
 
-    /// Whether the answer that is written next closes the connection.
-    fn verdict(&self, asked: Verdict, halves: &Halves) -> Verdict {
-        if asked == Verdict::Reuse && self.lifecycle.phase() == Phase::Serving {
+    /// Decides whether the response that is written next closes the connection, and stops
+    /// dispatching requests if the connection is to close.
+    fn next_verdict(&self, requested_verdict: Verdict, state: &PipelineState) -> Verdict {
+        if requested_verdict == Verdict::Reuse && self.lifecycle.phase() == Phase::Serving {
             return Verdict::Reuse;
         }
-        halves.is_closing.store(true, Ordering::SeqCst);
-        // Requests behind this one that were taken are still to be answered.
-        if halves.due.load(Ordering::SeqCst) > 1 {
+        state.is_closing.store(true, Ordering::SeqCst);
+        // Requests dispatched after this one must still be answered.
+        if state.pending.load(Ordering::SeqCst) > 1 {
             return Verdict::Reuse;
         }
         Verdict::Retire
@@ -243,15 +249,15 @@
         &self,
         connection: &mut Connection<TcpStream>,
         signal: &DisconnectSignal,
-        halves: &Halves,
+        state: &PipelineState,
     ) {
-        while halves.due.load(Ordering::SeqCst) > 0 {
+        while state.pending.load(Ordering::SeqCst) > 0 {
             let ended = async {
                 // Bytes that were sent ahead hide the end of the stream behind them.
                 matches!(connection.wait_for_more().await, Ok(false) | Err(_))
             };
             let recheck = async {
-                self.options.clock.sleep(RECHECK).await;
+                self.options.clock.sleep(PENDING_CHECK_INTERVAL).await;
                 false
             };
             if ended.or(recheck).await {
@@ -262,20 +268,20 @@
     }
 }
 
-fn refuse_unread(kind: ErrorKind, halves: &Halves) -> Due {
-    halves.due.fetch_add(1, Ordering::SeqCst);
-    let (tx, answer) = async_channel::bounded(1);
-    send_answer(&tx, unread_response(kind));
-    Due {
+fn reject_unread(kind: ErrorKind, state: &PipelineState) -> PendingResponse {
+    state.pending.fetch_add(1, Ordering::SeqCst);
+    let (tx, response_rx) = async_channel::bounded(1);
+    send_response(&tx, unread_response(kind));
+    PendingResponse {
         info: RequestInfo::default(),
-        asked: Verdict::Retire,
-        answer,
+        requested_verdict: Verdict::Retire,
+        response_rx,
         _guard: None,
     }
 }
 
-fn send_answer(tx: &Sender<Response>, response: Response) {
+fn send_response(tx: &Sender<Response>, response: Response) {
     if tx.try_send(response).is_err() {
-        debug!("an answer was dropped: its connection has ended");
+        debug!("dropped a response: its connection has ended");
     }
 }
--- a/crates/auburnbridge_caller/src/problem.rs
+++ b/crates/auburnbridge_caller/src/problem.rs
@@ -1,10 +1,10 @@
-//! Rejections in the form of RFC 9457.
+//! Error responses in the problem details format of RFC 9457.
 
 use auburnbridge_http::Response;
 use auburnbridge_types::{Answer, ErrorKind, Outcome};
 use serde_json::json;
 
-/// Header that says what is known about the execution of a rejected request.
+/// Response header that says whether a rejected request may have been executed.
 pub const OUTCOME_HEADER: &str = "Auburnbridge-Outcome";
 
 /// A rejection of a request.
@@ -12,14 +12,14 @@
 pub struct Problem {
     /// Why the request is rejected.
     pub kind: ErrorKind,
-    /// What the caller gets.
+    /// Status, title, outcome and retry advice sent to the caller.
     pub answer: Answer,
-    /// Explanation of this case.
+    /// Explanation of this occurrence.
     pub detail: String,
 }
 
 impl Problem {
-    /// Rejects a request for `kind`, with the outcome of the table.
+    /// Rejects a request for `kind`, with the answer defined for that kind.
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Self {
         Self {
             kind,
@@ -28,26 +28,26 @@
         }
     }
 
-    /// Replaces the outcome by `unknown`, since an earlier attempt may have run.
+    /// Replaces the outcome by `unknown`, since an earlier attempt of a resend may have run.
     #[must_use]
     pub fn for_possible_resend(mut self) -> Self {
         self.answer = self.answer.for_possible_resend();
         self
     }
 
-    /// Replaces the advice when to retry, in seconds.
+    /// Sets the value of `Retry-After`, in seconds.
     #[must_use]
     pub fn with_retry_after(mut self, seconds: u32) -> Self {
         self.answer.retry_after = Some(seconds);
         self
     }
 
-    /// What is known about the execution.
+    /// Whether the request may have been executed.
     pub fn outcome(&self) -> Outcome {
         self.answer.outcome
     }
 
-    /// The response to the caller.
+    /// Builds the response to the caller.
     pub fn to_response(&self) -> Response {
         let body = json!({
             "type": format!("urn:auburnbridge:problem:{}", self.kind),
--- a/crates/auburnbridge_caller/src/tide_service.rs
+++ b/crates/auburnbridge_caller/src/tide_service.rs
@@ -1,7 +1,7 @@
-//! Runs a `tide` application behind the framing guard.
+//! Runs a `tide` application behind a [`Listener`](crate::Listener).
 //!
-//! The guard has read the whole request, so the application never sees a truncated one; the body of
-//! its response is read whole before the first byte goes out.
+//! The listener reads the whole request first, so the application never sees a truncated one; the
+//! body of its response is read whole before the first byte is written.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 
 use crate::{Disconnect, OUTCOME_HEADER, Problem, Service};
 
-/// Names of the response headers that an application may set.
+/// Response headers of the application that are forwarded to the caller.
 const FORWARDED_HEADERS: [&str; 7] = [
     OUTCOME_HEADER,
     "Content-Type",
@@ -34,7 +34,7 @@
         Self { app }
     }
 
-    /// The application's response to `req`.
+    /// Returns the application's response to `req`, or a problem if the application fails.
     pub async fn handle(&self, req: &Request) -> Response {
         match self.try_handle(req).await {
             Ok(response) => response,
@@ -47,23 +47,23 @@
 
     async fn try_handle(&self, req: &Request) -> http_types::Result<Response> {
         let method: Method = req.method.parse()?;
-        // The host plays no part in routing, and a caller could name an invalid one.
+        // The host is fixed: it isn't used for routing, and the caller's could be invalid in a URL.
         let url = Url::parse("http://auburnbridge")?.join(&req.path)?;
-        let mut message = http_types::Request::new(method, url);
+        let mut app_request = http_types::Request::new(method, url);
         for (name, value) in req.headers.iter() {
             if let Ok(value) = std::str::from_utf8(value) {
-                message.append_header(name, value);
+                app_request.append_header(name, value);
             }
         }
-        message.set_body(Body::from_bytes(req.body.to_vec()));
-        let mut answer: http_types::Response = self.app.respond(message).await?;
-        let mut response = Response::new(answer.status().into());
+        app_request.set_body(Body::from_bytes(req.body.to_vec()));
+        let mut app_response: http_types::Response = self.app.respond(app_request).await?;
+        let mut response = Response::new(app_response.status().into());
         for name in FORWARDED_HEADERS {
-            if let Some(value) = answer.header(name) {
+            if let Some(value) = app_response.header(name) {
                 response.headers.append(name, value.as_str());
             }
         }
-        response.body = answer.body_bytes().await?.into();
+        response.body = app_response.body_bytes().await?.into();
         Ok(response)
     }
 }
--- a/crates/auburnbridge_caller/src/tracker.rs
+++ b/crates/auburnbridge_caller/src/tracker.rs
@@ -1,17 +1,17 @@
-//! Counts running tasks, so that a stop can wait for them.
+//! Counts running tasks, so that a shutdown can wait for them.
 
 use async_channel::{Receiver, Sender};
 use auburnbridge_types::{Clock, Millis};
 use futures_lite::FutureExt;
 use parking_lot::Mutex;
 
-/// The running tasks of one kind.
+/// Tracks the running tasks of one kind.
 ///
-/// Each guard holds a clone of a sender, and the channel closes when the last one is dropped.
+/// Each guard holds a clone of a sender; the channel closes when the last one is dropped.
 #[derive(Debug)]
 pub struct TaskTracker {
-    root: Mutex<Option<Sender<()>>>,
-    ended: Receiver<()>,
+    root_sender: Mutex<Option<Sender<()>>>,
+    closed: Receiver<()>,
 }
 
 /// Marks one task as running until it is dropped.
@@ -20,10 +20,10 @@
 
 impl Default for TaskTracker {
     fn default() -> Self {
-        let (root, ended) = async_channel::bounded(1);
+        let (root_sender, closed) = async_channel::bounded(1);
         Self {
-            root: Mutex::new(Some(root)),
-            ended,
+            root_sender: Mutex::new(Some(root_sender)),
+            closed,
         }
     }
 }
@@ -31,26 +31,26 @@
 impl TaskTracker {
     /// Counts a task as running; `None` after [`TaskTracker::close`].
     pub fn begin(&self) -> Option<TaskGuard> {
-        self.root.lock().clone().map(TaskGuard)
+        self.root_sender.lock().clone().map(TaskGuard)
     }
 
     /// Number of running tasks.
     pub fn running(&self) -> usize {
-        let root = usize::from(self.root.lock().is_some());
-        self.ended.sender_count().saturating_sub(root)
+        let root_senders = usize::from(self.root_sender.lock().is_some());
+        self.closed.sender_count().saturating_sub(root_senders)
     }
 
-    /// Lets no further task begin.
+    /// Prevents further tasks from beginning.
     pub fn close(&self) {
-        self.root.lock().take();
+        self.root_sender.lock().take();
     }
 
-    /// Waits until no task runs, at most for `limit`; gives the number that remain.
+    /// Waits until no task runs, at most for `limit`; returns the number that remain.
     ///
     /// Must follow [`TaskTracker::close`].
     pub async fn wait(&self, clock: &dyn Clock, limit: Millis) -> usize {
-        let all_ended = async { while self.ended.recv().await.is_ok() {} };
-        all_ended.or(clock.sleep(limit)).await;
+        let all_dropped = async { while self.closed.recv().await.is_ok() {} };
+        all_dropped.or(clock.sleep(limit)).await;
         self.running()
     }
 }
--- a/crates/auburnbridge_caller/tests/pipeline.rs
+++ b/crates/auburnbridge_caller/tests/pipeline.rs
@@ -1,5 +1,4 @@
-//! Guards connections whose requests are handled at the same time: order of the answers, closes, and
-//! disconnects.
+//! Tests pipelined connections: order of the responses, shutdown, and disconnects.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,14 +13,14 @@
 use auburnbridge_types::{BoxFuture, Millis};
 use parking_lot::Mutex;
 
-/// Answers `/slow` after 200 ms, `/never` not at all, and anything else at once.
+/// Answers `/slow` after 200 ms, `/never` only after a disconnect, and other paths immediately.
 #[derive(Default)]
-struct Paths {
-    begun: Mutex<Vec<String>>,
+struct PathService {
+    started: Mutex<Vec<String>>,
     disconnected: Mutex<Vec<String>>,
 }
 
-impl Service for Paths {
+impl Service for PathService {
     fn respond(
         &self,
         req: Request,
@@ -29,7 +28,7 @@
         disconnect: Disconnect,
     ) -> BoxFuture<'_, Response> {
         Box::pin(async move {
-            self.begun.lock().push(req.path.clone());
+            self.started.lock().push(req.path.clone());
             match req.path.as_str() {
                 "/slow" => task::sleep(Duration::from_millis(200)).await,
                 "/never" => {
@@ -45,9 +44,9 @@
     }
 }
 
-struct Fixed;
+struct FixedLimits;
 
-impl LimitSource for Fixed {
+impl LimitSource for FixedLimits {
     fn limits(&self) -> Limits {
         Limits::default()
     }
@@ -62,20 +61,20 @@
 }
 
 struct Fixture {
-    paths: Arc<Paths>,
+    service: Arc<PathService>,
     lifecycle: Arc<Lifecycle>,
     address: SocketAddr,
 }
 
 async fn start() -> Fixture {
-    let paths = Arc::new(Paths::default());
+    let service = Arc::new(PathService::default());
     let lifecycle = Arc::new(Lifecycle::default());
     let options = ListenerOptions::builder()
-        .pipelined(4, Arc::new(Fixed))
+        .pipelined(4, Arc::new(FixedLimits))
         .build();
     let listener = Listener::bind(
         "127.0.0.1:0".parse().unwrap(),
-        Arc::clone(&paths) as Arc<dyn Service>,
+        Arc::clone(&service) as Arc<dyn Service>,
         Arc::clone(&lifecycle),
         options,
     )
@@ -84,7 +83,7 @@
     let address = listener.local_address().unwrap();
     task::spawn(listener.run());
     Fixture {
-        paths,
+        service,
         lifecycle,
         address,
     }
@@ -112,26 +111,26 @@
         .unwrap()
 }
 
-async fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
+async fn wait_until(failure: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..200 {
         if holds() {
             return;
         }
         task::sleep(Duration::from_millis(10)).await;
     }
-    panic!("{what}");
+    panic!("{failure}");
 }
 
-/// Guards against answers in the order of their completion, and against a request that waits for the
-/// one before it.
+/// Guards against responses in the order of their completion, and against a request that is handled
+/// only after the one before it.
 #[test]
 fn answers_keep_the_order_of_the_requests() {
     block_on(async {
         let fixture = start().await;
         let requests = [get("/slow"), get("/1"), get("/2")];
         let mut connection = connect(&fixture, &requests).await;
-        eventually("the requests were not handled together", || {
-            fixture.paths.begun.lock().len() == 3
+        wait_until("the requests were not handled concurrently", || {
+            fixture.service.started.lock().len() == 3
         })
         .await;
         for path in ["/slow", "/1", "/2"] {
@@ -140,14 +139,14 @@
     });
 }
 
-/// Guards against a close before the answers to requests that were taken.
+/// Guards against a shutdown that closes a connection before all dispatched requests are answered.
 #[test]
 fn shutdown_closes_behind_the_last_answer() {
     block_on(async {
         let fixture = start().await;
         let mut connection = connect(&fixture, &[get("/slow"), get("/1")]).await;
-        eventually("the requests were not taken", || {
-            fixture.paths.begun.lock().len() == 2
+        wait_until("the requests were not started", || {
+            fixture.service.started.lock().len() == 2
         })
         .await;
         fixture.lifecycle.begin_draining();
@@ -164,7 +163,7 @@
     });
 }
 
-/// Guards against a request that crosses the close of its connection and is handled all the same.
+/// Guards against handling a request that arrives after the response that closes its connection.
 #[test]
 fn request_that_crosses_the_close_is_not_handled() {
     block_on(async {
@@ -175,23 +174,23 @@
         // The close may reset the connection under this write.
         let _ = connection.get_mut().write_all(get("/2").as_bytes()).await;
         task::sleep(Duration::from_millis(100)).await;
-        assert_eq!(*fixture.paths.begun.lock(), ["/1"]);
+        assert_eq!(*fixture.service.started.lock(), ["/1"]);
     });
 }
 
-/// Guards against work that goes on for a caller that has gone, whatever it sent ahead.
+/// Guards against missing a disconnect when the caller has sent further requests ahead.
 #[test]
 fn disconnect_is_seen_behind_requests_sent_ahead() {
     block_on(async {
         let fixture = start().await;
         let connection = connect(&fixture, &[get("/never"), get("/never")]).await;
-        eventually("the requests were not taken", || {
-            fixture.paths.begun.lock().len() == 2
+        wait_until("the requests were not started", || {
+            fixture.service.started.lock().len() == 2
         })
         .await;
         drop(connection);
-        eventually("the disconnect was not reported", || {
-            fixture.paths.disconnected.lock().len() == 2
+        wait_until("the disconnect was not reported", || {
+            fixture.service.disconnected.lock().len() == 2
         })
         .await;
     });
