--- a/crates/auburnbridge_http/src/chunked.rs
+++ b/crates/auburnbridge_http/src/chunked.rs
@@ -8,7 +8,7 @@
 /// Parses a chunk-size line without its line ending. The extension is validated and discarded.
 pub(crate) fn parse_chunk_size(line: &[u8]) -> Result<u64, FramingError> {
     let (size, extension) = match line.iter().position(|byte| *byte == b';') {
-        // RFC 9112 requires recipients to accept "bad whitespace" before the extension.
+        // RFC 9112 allows "bad whitespace" before the extension, which recipients must accept.
         Some(semicolon) => (line[..semicolon].trim_ascii_end(), &line[semicolon..]),
         None => (line, &[][..]),
     };
--- a/crates/auburnbridge_http/src/connection.rs
+++ b/crates/auburnbridge_http/src/connection.rs
@@ -34,7 +34,7 @@
     stream: S,
     buf: Vec<u8>,
     start: usize,
-    received: u64,
+    bytes_received: u64,
 }
 
 impl<S> Connection<S> {
@@ -44,7 +44,7 @@
             stream,
             buf: Vec::new(),
             start: 0,
-            received: 0,
+            bytes_received: 0,
         }
     }
 
@@ -64,8 +64,8 @@
     }
 
     /// The number of bytes read from the stream so far.
-    pub fn received(&self) -> u64 {
-        self.received
+    pub fn bytes_received(&self) -> u64 {
+        self.bytes_received
     }
 
     fn consume(&mut self, count: usize) {
@@ -177,7 +177,7 @@
     /// Waits for bytes beyond those that are buffered; `false` at the end of the stream.
     ///
     /// Cancellation safe: it may be dropped and repeated without losing bytes. The buffer grows by
-    /// what arrives, up to [`MAX_READ_AHEAD_BYTES`] in all; after that, it never completes.
+    /// what arrives, up to 256 KiB in all; after that, it never completes.
     pub async fn wait_for_more(&mut self) -> Result<bool, FramingError> {
         if self.leftover().len() >= MAX_READ_AHEAD_BYTES {
             return std::future::pending().await;
@@ -348,7 +348,7 @@
                 if read == 0 {
                     return Err(FramingError::ClosedInBody);
                 }
-                self.received += read as u64;
+                self.bytes_received += read as u64;
                 unfilled = &mut unfilled[read..];
             }
             remaining -= step as u64;
@@ -380,7 +380,7 @@
                 Poll::Ready(Err(_)) | Poll::Pending => 0,
             };
             self.buf.truncate(filled + read);
-            self.received += read as u64;
+            self.bytes_received += read as u64;
             polled
         })
         .await
--- a/crates/auburnbridge_target/src/connect.rs
+++ b/crates/auburnbridge_target/src/connect.rs
@@ -17,8 +17,10 @@
     clock: &dyn Clock,
 ) -> Result<Connection<TcpStream>, NotSent> {
     let connecting = async {
-        let stream = TcpStream::connect(address).await.map_err(connect_failure)?;
-        stream.set_nodelay(true).map_err(connect_failure)?;
+        let stream = TcpStream::connect(address)
+            .await
+            .map_err(classify_connect_error)?;
+        stream.set_nodelay(true).map_err(classify_connect_error)?;
         Ok(Connection::new(stream))
     };
     let timer = async {
@@ -32,7 +34,7 @@
     clippy::needless_pass_by_value,
     reason = "used as a function for map_err"
 )]
-fn connect_failure(error: io::Error) -> NotSent {
+fn classify_connect_error(error: io::Error) -> NotSent {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => NotSent::Refused,
         kind => NotSent::ConnectFailed(kind),
--- a/crates/auburnbridge_target/src/exchange.rs
+++ b/crates/auburnbridge_target/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange on one connection, and its result.
+//! One request and its answer on one connection, and the result.
 
 use std::io;
 use std::pin::pin;
@@ -10,19 +10,19 @@
 use auburnbridge_types::ErrorKind;
 use futures_lite::future::or;
 
-/// The result of one exchange and how it came about.
+/// The result of one exchange and the kind of connection that it used.
 #[derive(Debug)]
 pub struct Exchange {
-    /// What became of the request.
+    /// The outcome for the request.
     pub result: ExchangeResult,
-    /// Whether the request was written on a connection that an earlier exchange had used.
+    /// Whether the connection had been used by an earlier exchange.
     pub reused: bool,
 }
 
-/// What became of a request.
+/// The outcome of an exchange for its request.
 #[derive(Debug)]
 pub enum ExchangeResult {
-    /// The target gave a whole answer.
+    /// The target sent a whole answer.
     Answered(Response),
     /// No byte of the request was written: it did not run.
     NotSent(NotSent),
@@ -44,23 +44,23 @@
     ConnectTimeout,
     /// Connecting failed in another way.
     ConnectFailed(io::ErrorKind),
-    /// The target closed the new connection before the first byte.
+    /// The target closed the new connection before the first byte was written.
     Closed,
     /// The deadline passed while all connections to the target were in use.
     AllInUse,
-    /// The deadline passed before the first byte.
+    /// The deadline passed before the first byte was written.
     Deadline,
 }
 
-/// Why no whole answer arrived after a byte was written.
+/// Why no whole answer arrived after at least one byte was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unknown {
-    /// The connection closed or failed, or the answer violates a framing rule or limit.
+    /// The connection was closed or failed, or the answer violates a framing rule or limit.
     Framing(FramingError),
-    /// A reused connection brought a 408 and closes.
+    /// A reused connection returned a 408 and closes.
     ///
-    /// Servers close idle connections in this way, so it may have been on its way before the
-    /// request was, and is not taken for the request's answer.
+    /// Servers close idle connections in this way, so the 408 may have been sent before the
+    /// request arrived, and is not treated as its answer.
     IdleTimeout,
     /// The deadline passed.
     Deadline,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether the failure is no evidence about the target's health, such as a lack of file
+    /// Whether the failure says nothing about the target's health, such as a lack of file
     /// descriptors or ports in this process.
     pub const fn is_local(self) -> bool {
         match self {
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Whether the failure is no evidence about the target's health: this process ran out of
-    /// memory for answers, or the target closed an idle connection.
+    /// Whether the failure says nothing about the target's health: this process ran out of memory
+    /// for answers, or the target closed an idle connection.
     pub const fn is_local(self) -> bool {
         match self {
             Self::Framing(error) => matches!(error, FramingError::MemoryExhausted),
@@ -115,17 +115,17 @@
     }
 }
 
-/// A request as it goes out.
-pub(crate) struct Outgoing<'a> {
+/// An encoded request with what is needed to read its answer.
+pub(crate) struct OutgoingRequest<'a> {
     pub(crate) encoded: &'a [u8],
     pub(crate) info: RequestInfo,
-    /// Header whose value the answer repeats.
+    /// Name and value of the request header that the target repeats in its answer.
     pub(crate) echo: Option<(&'static str, &'a [u8])>,
 }
 
-impl Outgoing<'_> {
-    /// Whether the response answers another request.
-    fn is_stray(&self, response: &Response) -> bool {
+impl OutgoingRequest<'_> {
+    /// Whether the response belongs to another request.
+    fn answers_other_request(&self, response: &Response) -> bool {
         let Some((name, value)) = self.echo else {
             return false;
         };
@@ -136,26 +136,26 @@
     }
 }
 
-/// Answers to earlier requests that are skipped before the right one.
-const MOST_STRAYS: usize = 4;
+/// Most late answers to earlier requests that are skipped before the answer to this one.
+const MAX_STRAY_ANSWERS: usize = 4;
 
-/// Reads the response to the request; tells as well whether strays came before it.
+/// Reads the answer to the request; returns as well whether stray answers came before it.
 async fn read_answer(
     connection: &mut Connection<TcpStream>,
-    outgoing: &Outgoing<'_>,
+    request: &OutgoingRequest<'_>,
     limits: &Limits,
 ) -> Result<(Response, bool), FramingError> {
-    for strays in 0..=MOST_STRAYS {
-        let response = connection.read_response(outgoing.info, limits).await?;
-        if !outgoing.is_stray(&response) {
+    for strays in 0..=MAX_STRAY_ANSWERS {
+        let response = connection.read_response(request.info, limits).await?;
+        if !request.answers_other_request(&response) {
             return Ok((response, strays > 0));
         }
     }
     Err(FramingError::TooManyInterim)
 }
 
-/// How a run on one connection ended.
-pub(crate) enum Run {
+/// The outcome of writing a request and reading its answer on one connection.
+pub(crate) enum RoundTrip {
     /// A whole answer; the verdict tells whether the connection may be used again.
     Answered(Response, Verdict),
     /// The connection was closed before a byte was written.
@@ -168,40 +168,40 @@
 /// before it has read the whole request.
 ///
 /// Sets `written` as soon as the kernel has accepted a byte.
-pub(crate) async fn run(
+pub(crate) async fn round_trip(
     connection: &mut Connection<TcpStream>,
-    outgoing: &Outgoing<'_>,
+    request: &OutgoingRequest<'_>,
     limits: &Limits,
     written: &AtomicBool,
-) -> Run {
+) -> RoundTrip {
     enum Step {
         Wrote(io::Result<()>),
         Read(Result<(Response, bool), FramingError>),
     }
 
     let stream = connection.get_ref().clone();
-    let mut write = pin!(write_all(stream, outgoing.encoded, written));
-    let mut read = pin!(read_answer(connection, outgoing, limits));
+    let mut write = pin!(write_all(stream, request.encoded, written));
+    let mut read = pin!(read_answer(connection, request, limits));
     let step = or(async { Step::Wrote(write.as_mut().await) }, async {
         Step::Read(read.as_mut().await)
     })
     .await;
-    let (answer, is_written_whole) = match step {
+    let (answer, is_fully_written) = match step {
         Step::Wrote(Ok(())) => (read.await, true),
-        Step::Wrote(Err(_)) if !written.load(Ordering::Relaxed) => return Run::Closed,
-        // A target that closes early may have answered first.
+        Step::Wrote(Err(_)) if !written.load(Ordering::Relaxed) => return RoundTrip::Closed,
+        // A target that closes the connection early may have answered first.
         Step::Wrote(Err(_)) => (read.await, false),
         Step::Read(answer) => (answer, false),
     };
     match answer {
-        // Nothing was asked yet, so these bytes answer no request of ours.
-        _ if !written.load(Ordering::Relaxed) => Run::Closed,
-        Ok((response, false)) if is_written_whole => {
+        // No byte of the request was written, so what was read can't be its answer.
+        _ if !written.load(Ordering::Relaxed) => RoundTrip::Closed,
+        Ok((response, false)) if is_fully_written => {
             let verdict = response.verdict;
-            Run::Answered(response, verdict)
+            RoundTrip::Answered(response, verdict)
         }
-        Ok((response, _)) => Run::Answered(response, Verdict::Retire),
-        Err(error) => Run::Failed(error),
+        Ok((response, _)) => RoundTrip::Answered(response, Verdict::Retire),
+        Err(error) => RoundTrip::Failed(error),
     }
 }
 
--- a/crates/auburnbridge_target/src/idle.rs
+++ b/crates/auburnbridge_target/src/idle.rs
@@ -1,4 +1,4 @@
-//! Idle connections of one target.
+//! The idle connections to one target.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -11,43 +11,43 @@
 use auburnbridge_types::{Millis, Timestamp};
 use parking_lot::Mutex;
 
-/// The connections of one target.
+/// The connections to one target.
 ///
-/// The semaphore bounds the exchanges. A new connection is opened only when none is idle, so it
-/// bounds the connections as well.
+/// The semaphore limits the concurrent exchanges. A connection is opened only when none is idle, so
+/// the semaphore limits the connections as well.
 pub(crate) struct TargetConnections {
-    pub(crate) exchanges: Arc<Semaphore>,
+    pub(crate) exchange_permits: Arc<Semaphore>,
     idle: Mutex<Vec<IdleConnection>>,
 }
 
 struct IdleConnection {
     connection: Connection<TcpStream>,
-    since: Timestamp,
+    idle_since: Timestamp,
 }
 
 impl TargetConnections {
     pub(crate) fn new(limit: usize) -> Self {
         Self {
-            exchanges: Arc::new(Semaphore::new(limit)),
+            exchange_permits: Arc::new(Semaphore::new(limit)),
             idle: Mutex::new(Vec::new()),
         }
     }
 
-    /// Takes the connection that was used last, if it is open and was used within `freshness`.
+    /// Takes the most recently used connection, if it is open and was used within `max_idle_time`.
     ///
-    /// Closes connections found dead, and one that is not fresh: a new one takes its place, and
-    /// the number of connections must not grow.
-    pub(crate) fn take_live(
+    /// Closes unusable connections that it finds, and one that has been idle for too long: a new
+    /// connection replaces it, and the number of connections must not grow.
+    pub(crate) fn take_usable(
         &self,
         now: Timestamp,
-        freshness: Millis,
+        max_idle_time: Millis,
     ) -> Option<Connection<TcpStream>> {
         loop {
             let mut idle = self.idle.lock().pop()?;
-            if now.since(idle.since) >= freshness {
+            if now.since(idle.idle_since) >= max_idle_time {
                 return None;
             }
-            if is_live(&mut idle.connection) {
+            if is_usable(&mut idle.connection) {
                 return Some(idle.connection);
             }
         }
@@ -56,7 +56,7 @@
     pub(crate) fn put_back(&self, connection: Connection<TcpStream>, now: Timestamp) {
         self.idle.lock().push(IdleConnection {
             connection,
-            since: now,
+            idle_since: now,
         });
     }
 
@@ -64,7 +64,7 @@
     pub(crate) fn close_expired(&self, now: Timestamp, timeout: Millis) {
         self.idle
             .lock()
-            .retain(|idle| now.since(idle.since) < timeout);
+            .retain(|idle| now.since(idle.idle_since) < timeout);
     }
 
     pub(crate) fn close_idle(&self) {
@@ -76,8 +76,8 @@
     }
 }
 
-/// Whether an idle connection is open and silent. Pending bytes belong to no request of ours.
-fn is_live(connection: &mut Connection<TcpStream>) -> bool {
+/// Whether an idle connection is open and has no unread bytes, which would belong to no request.
+fn is_usable(connection: &mut Connection<TcpStream>) -> bool {
     if !connection.leftover().is_empty() {
         return false;
     }
--- a/crates/auburnbridge_target/src/lib.rs
+++ b/crates/auburnbridge_target/src/lib.rs
@@ -1,15 +1,15 @@
-//! The connection pool towards targets and single exchanges on it.
+//! The connection pool for targets, and request-response exchanges on its connections.
 //!
-//! [`Pool::exchange`] sends one request and says for certain whether any byte of it was written:
+//! [`Pool::exchange`] sends one request and reports reliably whether any byte of it was written:
 //! the ledger withdraws a grant only for [`ExchangeResult::NotSent`]. A byte counts as written
 //! once the kernel has accepted it.
 //!
-//! A connection goes back to the pool only after a whole exchange with the verdict `Reuse`. In any
-//! other case, and when the exchange is dropped, the connection is closed, which tells the target
-//! that the request is cancelled and keeps a late answer away from the next request.
+//! A connection returns to the pool only after a complete exchange with the verdict `Reuse`. In any
+//! other case, and when the exchange is dropped, the connection is closed, which cancels the
+//! request at the target and prevents a late answer from being read as the next one.
 //!
 //! Lock order: the table of targets, then the idle connections of one target. Neither lock is held
-//! over an await.
+//! across an await.
 
 mod connect;
 mod crash;
--- a/crates/auburnbridge_target/src/pool.rs
+++ b/crates/auburnbridge_target/src/pool.rs
@@ -13,14 +13,16 @@
 use parking_lot::Mutex;
 
 use crate::connect::connect;
-use crate::exchange::{Exchange, ExchangeResult, NotSent, Outgoing, Run, Unknown, run};
+use crate::exchange::{
+    Exchange, ExchangeResult, NotSent, OutgoingRequest, RoundTrip, Unknown, round_trip,
+};
 use crate::idle::TargetConnections;
 
 const DEFAULT_CONNECT_TIMEOUT: Millis = Millis(250);
 const DEFAULT_IDLE_TIMEOUT: Millis = Millis(30_000);
-/// Servers close idle connections after a few seconds, usually 5 or more.
+/// Shorter than the idle timeout of common servers, a few seconds, usually 5 or more.
 const DEFAULT_FRESHNESS: Millis = Millis(1_000);
-/// A target accepts about 350 connections, shared by all entries; there are 13 to 16 of them.
+/// A target accepts about 350 connections, which 13 to 16 entries share.
 const DEFAULT_CONNECTIONS_PER_TARGET: usize = 20;
 
 const REQUEST_TIMEOUT_STATUS: u16 = 408;
@@ -36,37 +38,37 @@
 }
 
 impl PoolBuilder {
-    /// Bounds the time to open a connection (default 250 ms).
+    /// Limits the time to open a connection (default 250 ms).
     #[must_use]
     pub fn connect_timeout(mut self, timeout: Millis) -> Self {
         self.connect_timeout = timeout;
         self
     }
 
-    /// Closes connections that have been idle for this long (default 30 s).
+    /// Sets the idle time after which a connection is closed (default 30 s).
     #[must_use]
     pub fn idle_timeout(mut self, timeout: Millis) -> Self {
         self.idle_timeout = timeout;
         self
     }
 
-    /// Bounds the idle time of a connection that [`Pool::exchange_fresh`] uses (default 1 s).
+    /// Limits the idle time of a connection that [`Pool::exchange_fresh`] reuses (default 1 s).
     #[must_use]
     pub fn freshness(mut self, freshness: Millis) -> Self {
         self.freshness = freshness;
         self
     }
 
-    /// Bounds the connections to one target, and with them its exchanges (default 20).
+    /// Limits the connections to one target, and thus its concurrent exchanges (default 20).
     #[must_use]
     pub fn connections_per_target(mut self, limit: usize) -> Self {
         self.connections_per_target = limit;
         self
     }
 
-    /// Names a header of the request that targets repeat in its answer (default none).
+    /// Sets the request header whose value targets repeat in the answer (default none).
     ///
-    /// An answer that repeats another value is a late one to an earlier request; it is skipped.
+    /// An answer that repeats another value is a late answer to an earlier request and is skipped.
     #[must_use]
     pub fn echo_header(mut self, name: &'static str) -> Self {
         self.echo_header = Some(name);
@@ -88,7 +90,7 @@
     targets: Mutex<HashMap<SocketAddr, Arc<TargetConnections>>>,
 }
 
-/// A connection in use, with the right to use it.
+/// A connection in use and the semaphore permit of its exchange.
 struct Lease {
     connection: Connection<TcpStream>,
     is_reused: bool,
@@ -108,9 +110,9 @@
         }
     }
 
-    /// Sends one request to the target at `address` and reads its answer, all before `deadline`.
+    /// Sends one request to the target at `address` and reads its answer before `deadline`.
     ///
-    /// `limits` bounds the answer. Waiting for a free connection counts towards the deadline.
+    /// `limits` applies to the answer. Waiting for a free connection counts towards the deadline.
     /// Dropping the future closes the connection, which cancels the request at the target.
     pub async fn exchange(
         &self,
@@ -126,8 +128,8 @@
 
     /// Like [`Pool::exchange`], for a request that must not be resent.
     ///
-    /// It uses only connections that were used a short time ago, since a target may close an older
-    /// one while the request is on its way, which leaves the outcome unknown.
+    /// Reuses only recently used connections, since a target may close one that has been idle for
+    /// longer while the request is in transit, which leaves the outcome unknown.
     pub async fn exchange_fresh(
         &self,
         address: SocketAddr,
@@ -140,9 +142,9 @@
             .await
     }
 
-    /// Closes the connections that have been idle for too long, and forgets unused targets.
+    /// Closes the connections that exceed the idle timeout, and removes unused targets.
     ///
-    /// To be called now and then, since a target that left is not asked for again.
+    /// Must be called periodically, since no exchange closes the connections of a departed target.
     pub fn close_expired(&self) {
         let now = self.options.clock.now();
         self.targets.lock().retain(|_, target| {
@@ -151,7 +153,7 @@
         });
     }
 
-    /// Closes the idle connections to the target at `address`, such as one that is leaving.
+    /// Closes the idle connections to the target at `address`, for example when it is leaving.
     pub fn close_idle(&self, address: SocketAddr) {
         let target = self.targets.lock().get(&address).cloned();
         if let Some(target) = target {
@@ -182,7 +184,7 @@
                 Err(reason) => return Exchange::not_sent(reason),
             };
             let is_reused = lease.is_reused;
-            let outgoing = Outgoing {
+            let outgoing = OutgoingRequest {
                 encoded: &encoded,
                 info: RequestInfo::from(request),
                 echo: self
@@ -191,10 +193,11 @@
                     .and_then(|name| Some((name, request.headers.get(name)?))),
             };
             let exchange = self
-                .run_lease(lease, &target, &outgoing, limits, deadline)
+                .exchange_on_lease(lease, &target, &outgoing, limits, deadline)
                 .await;
             match exchange.result {
-                // The idle connection closed under us; no byte was written, so another will do.
+                // The target closed the idle connection before a byte was written, so another
+                // connection can be used.
                 ExchangeResult::NotSent(NotSent::Closed) if is_reused => {}
                 _ => return exchange,
             }
@@ -220,13 +223,13 @@
         if self.options.clock.now() >= deadline {
             return Err(NotSent::Deadline);
         }
-        let acquiring = async { Ok(target.exchanges.acquire_arc().await) };
-        let permit = or(acquiring, self.expire(deadline, NotSent::AllInUse)).await?;
+        let acquiring = async { Ok(target.exchange_permits.acquire_arc().await) };
+        let permit = or(acquiring, self.fail_at(deadline, NotSent::AllInUse)).await?;
         let now = self.options.clock.now();
         if now >= deadline {
             return Err(NotSent::AllInUse);
         }
-        if let Some(connection) = target.take_live(now, freshness) {
+        if let Some(connection) = target.take_usable(now, freshness) {
             return Ok(Lease {
                 connection,
                 is_reused: true,
@@ -234,9 +237,9 @@
             });
         }
         let connecting = connect(address, self.options.connect_timeout, &*self.options.clock);
-        let connection = or(connecting, self.expire(deadline, NotSent::Deadline))
+        let connection = or(connecting, self.fail_at(deadline, NotSent::Deadline))
             .await
-            .map_err(|reason| self.attribute(reason, deadline))?;
+            .map_err(|reason| self.prefer_deadline(reason, deadline))?;
         Ok(Lease {
             connection,
             is_reused: false,
@@ -244,54 +247,54 @@
         })
     }
 
-    /// Keeps a delay of this process, which lets both timers fire at once, from counting as a
-    /// connect timeout of the target.
-    fn attribute(&self, reason: NotSent, deadline: Timestamp) -> NotSent {
+    /// Reports `Deadline` rather than a connect timeout if both have passed: a delay of this
+    /// process lets both timers fire at once and must not count as a timeout of the target.
+    fn prefer_deadline(&self, reason: NotSent, deadline: Timestamp) -> NotSent {
         if reason == NotSent::ConnectTimeout && self.options.clock.now() >= deadline {
             return NotSent::Deadline;
         }
         reason
     }
 
-    async fn run_lease(
+    async fn exchange_on_lease(
         &self,
         mut lease: Lease,
         target: &TargetConnections,
-        outgoing: &Outgoing<'_>,
+        outgoing: &OutgoingRequest<'_>,
         limits: &Limits,
         deadline: Timestamp,
     ) -> Exchange {
-        // The process may have been frozen while it connected.
+        // The process may have been suspended while it connected.
         if self.options.clock.now() >= deadline {
             return Exchange::not_sent(NotSent::Deadline);
         }
-        let received = lease.connection.received();
+        let received = lease.connection.bytes_received();
         let written = AtomicBool::new(false);
-        let running = run(&mut lease.connection, outgoing, limits, &written);
+        let running = round_trip(&mut lease.connection, outgoing, limits, &written);
         let run = or(async { Some(running.await) }, async {
-            self.until(deadline).await;
+            self.sleep_until(deadline).await;
             None
         })
         .await;
-        let answer_started = lease.connection.received() > received;
+        let answer_started = lease.connection.bytes_received() > received;
         let unknown = |reason| ExchangeResult::Unknown {
             reason,
             answer_started,
         };
         let result = match run {
-            Some(Run::Answered(response, Verdict::Retire))
+            Some(RoundTrip::Answered(response, Verdict::Retire))
                 if lease.is_reused && response.status == REQUEST_TIMEOUT_STATUS =>
             {
                 unknown(Unknown::IdleTimeout)
             }
-            Some(Run::Answered(response, verdict)) => {
+            Some(RoundTrip::Answered(response, verdict)) => {
                 if verdict == Verdict::Reuse {
                     target.put_back(lease.connection, self.options.clock.now());
                 }
                 ExchangeResult::Answered(response)
             }
-            Some(Run::Closed) => ExchangeResult::NotSent(NotSent::Closed),
-            Some(Run::Failed(error)) => unknown(Unknown::Framing(error)),
+            Some(RoundTrip::Closed) => ExchangeResult::NotSent(NotSent::Closed),
+            Some(RoundTrip::Failed(error)) => unknown(Unknown::Framing(error)),
             None if written.load(Ordering::Relaxed) => unknown(Unknown::Deadline),
             None => ExchangeResult::NotSent(NotSent::Deadline),
         };
@@ -301,12 +304,12 @@
         }
     }
 
-    async fn expire<T>(&self, deadline: Timestamp, reason: NotSent) -> Result<T, NotSent> {
-        self.until(deadline).await;
+    async fn fail_at<T>(&self, deadline: Timestamp, reason: NotSent) -> Result<T, NotSent> {
+        self.sleep_until(deadline).await;
         Err(reason)
     }
 
-    async fn until(&self, deadline: Timestamp) {
+    async fn sleep_until(&self, deadline: Timestamp) {
         let left = deadline.since(self.options.clock.now());
         self.options.clock.sleep(left).await;
     }
--- a/crates/auburnbridge_target/tests/exchange.rs
+++ b/crates/auburnbridge_target/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Guards the certainty of exchange results against targets that fail at any step.
+//! Tests the results of exchanges with targets that fail at any step.
 
 mod support;
 
@@ -13,14 +13,14 @@
 use futures_lite::future::{or, poll_once, zip};
 use socket2::{Domain, SockAddr, Socket, Type};
 use support::{
-    Fixture, OK, START, TIME_LIMIT, answer, answered, beside, describe, pool, send, wait_for_socket,
+    Fixture, OK, START, TIME_LIMIT, answered, describe, pool, run_with_target, send, serve_raw,
+    wait_for_socket,
 };
 
-/// Guards against an answer that is accepted although the target ended it early or broke framing,
-/// against a failure after the write that claims that nothing was sent, and against a connection
-/// that is kept in an uncertain state.
+/// Guards against accepting an answer that is truncated or violates framing, against reporting a
+/// failure after the write as not sent, and against keeping a connection in an uncertain state.
 #[async_std::test]
-async fn answers_that_retire_the_connection() {
+async fn answers_that_close_the_connection() {
     let cases: [(&[u8], &str); 8] = [
         (
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",
@@ -58,9 +58,9 @@
     let target = Fixture::new(1).await;
     for (raw, expected) in cases {
         let answering = async {
-            answer(&mut target.accept().await, raw).await;
+            serve_raw(&mut target.accept().await, raw).await;
         };
-        let result = beside(target.exchange(), answering).await;
+        let result = run_with_target(target.exchange(), answering).await;
         assert_eq!(result, (expected.to_owned(), false));
         assert_eq!(target.pool.idle_connections(target.address), 0);
     }
@@ -74,7 +74,7 @@
     (socket, address)
 }
 
-/// Guards against a request that is reported as possibly run although no connection existed.
+/// Guards against reporting a request as possibly executed although no connection existed.
 #[async_std::test]
 async fn a_refused_connection_is_not_sent() {
     let (_socket, address) = bind_without_listening();
@@ -88,7 +88,7 @@
 async fn a_connection_that_is_not_established_is_not_sent() {
     let (socket, address) = bind_without_listening();
     socket.listen(0).unwrap();
-    // One connection that is not accepted fills the backlog; the kernel ignores further ones.
+    // One unaccepted connection fills the backlog; the kernel ignores further attempts.
     let _waiting = TcpStream::connect(address).unwrap();
     wait_for_socket(address, |state| state.received_bytes == 1);
 
@@ -108,10 +108,10 @@
     }
 }
 
-/// A clock whose timers fire late, as they do after the process was frozen.
-struct LateTimers(PausedClock);
+/// A clock whose timers never fire, as timers are late after a process was suspended.
+struct StalledTimers(PausedClock);
 
-impl Clock for LateTimers {
+impl Clock for StalledTimers {
     fn now(&self) -> Timestamp {
         self.0.now()
     }
@@ -121,15 +121,15 @@
     }
 }
 
-/// Guards against dispatching after the deadline, as a process that was frozen might do.
+/// Guards against sending a request after the deadline, when the process was suspended meanwhile.
 #[async_std::test]
 async fn a_passed_deadline_is_not_sent() {
     let target = Fixture::new(1).await;
     let clock = &target.clock;
-    let pool = Pool::builder(Arc::new(LateTimers(clock.clone()))).build();
+    let pool = Pool::builder(Arc::new(StalledTimers(clock.clone()))).build();
     let request = Request::new("GET", "/");
     let mut exchange = Box::pin(send(&pool, clock, target.address, &request));
-    // The connection is on its way when the process freezes.
+    // The connection is being established when the process is suspended.
     assert!(poll_once(&mut exchange).await.is_none());
     let mut accepted = target.accept().await;
     clock.advance(TIME_LIMIT);
@@ -141,7 +141,8 @@
     assert_eq!(accepted.wait_for_bytes().await, Ok(false));
 }
 
-/// Guards against a caller that waits for ever, and a target that is not told of the cancellation.
+/// Guards against waiting for an answer after the deadline, and against not cancelling the request
+/// at the target.
 #[async_std::test]
 async fn a_target_that_never_answers_is_unknown_at_the_deadline() {
     let target = Fixture::new(1).await;
@@ -157,7 +158,7 @@
     assert_eq!(at_target, Ok(false));
 }
 
-/// Guards against a late answer to a cancelled exchange that reaches the next request.
+/// Guards against returning the late answer to a cancelled exchange for the next request.
 #[async_std::test]
 async fn a_late_answer_does_not_reach_the_next_request() {
     let target = Fixture::new(1).await;
@@ -169,21 +170,21 @@
     assert_eq!(or(async { Ok(received.await) }, first).await, Ok(Ok(())));
     drop(cancelled);
     assert_eq!(late.wait_for_bytes().await, Ok(false));
-    // The pool's end is closed, so this may fail.
+    // The pool has closed its end, so this may fail.
     let _ = late.get_mut().write_all(OK).await;
 
     let second = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond";
     let answering = async {
-        answer(&mut target.accept().await, second).await;
+        serve_raw(&mut target.accept().await, second).await;
     };
-    let result = beside(target.exchange(), answering).await;
+    let result = run_with_target(target.exchange(), answering).await;
     assert_eq!(result, answered("second", false));
 }
 
-/// Guards against an early answer that is lost, or whose connection is used again in the middle of
-/// a request.
+/// Guards against losing an answer that arrives before the whole request is written, and against
+/// reusing its connection in the middle of the request.
 #[async_std::test]
-async fn an_early_answer_counts_and_retires_the_connection() {
+async fn an_early_answer_is_returned_and_closes_the_connection() {
     let target = Fixture::new(1).await;
     let mut request = Request::new("POST", "/slips");
     request.body = Body::from(vec![b'x'; 32 * 1024 * 1024]);
@@ -194,13 +195,13 @@
         connection.get_mut().write_all(OK).await.unwrap();
         connection
     };
-    let result = beside(target.send(&request), early).await;
+    let result = run_with_target(target.send(&request), early).await;
     assert_eq!(result, answered("ok", false));
     assert_eq!(target.pool.idle_connections(target.address), 0);
 }
 
-/// Guards against a caller that is told `not-run` for a result that is not certain, or the reverse,
-/// and against a fault of this process that counts against a target.
+/// Guards against reporting `not-run` for an uncertain result, or the reverse, and against counting
+/// a failure of this process against a target.
 #[test]
 fn reasons_agree_with_certainty_and_attribution() {
     let not_sent = [
--- a/crates/auburnbridge_target/tests/ownership.rs
+++ b/crates/auburnbridge_target/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Guards the ownership of answers when many exchanges share connections to a faulty target.
+//! Tests that concurrent exchanges that share connections to a faulty target get their own answers.
 
 mod support;
 
@@ -14,11 +14,11 @@
 use parking_lot::Mutex;
 use support::{START, pool, send};
 
-const LANES: usize = 8;
+const WORKERS: usize = 8;
 const CONNECTIONS: usize = 3;
-const REQUESTS_PER_LANE: usize = 60;
+const REQUESTS_PER_WORKER: usize = 60;
 
-/// How the target treats a request; the request names it.
+/// How the target handles a request, which names the behaviour in a header.
 const BEHAVIOURS: [&str; 7] = [
     "whole",
     "whole",
@@ -29,7 +29,7 @@
     "cancelled",
 ];
 
-/// What the target writes for the request `tag`, and whether it goes on with the connection.
+/// What the target writes for the request `tag`, and whether it keeps the connection open.
 fn reply(behaviour: &str, tag: &str) -> (String, bool) {
     let length = tag.len();
     let sized = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{tag}");
@@ -45,32 +45,32 @@
     }
 }
 
-async fn serve(stream: TcpStream, seen: Arc<Mutex<Vec<String>>>) {
+async fn serve(stream: TcpStream, received: Arc<Mutex<Vec<String>>>) {
     let mut connection = Connection::new(stream);
     while let Ok(request) = connection.read_request(&Limits::default()).await {
         let tag = request.path[1..].to_owned();
         let behaviour = request.headers.text("Behaviour").unwrap_or_default();
-        let (raw, goes_on) = reply(behaviour, &tag);
-        seen.lock().push(tag);
+        let (raw, keeps_open) = reply(behaviour, &tag);
+        received.lock().push(tag);
         let written = connection.get_mut().write_all(raw.as_bytes()).await;
-        if written.is_err() || !goes_on {
+        if written.is_err() || !keeps_open {
             return;
         }
     }
 }
 
-/// Runs the exchanges of one lane one after the other, and gives those that were not cancelled.
-async fn run_lane(
+/// Runs the exchanges of one worker in sequence and returns those that were not cancelled.
+async fn run_worker(
     pool: &Pool,
     listener: &TcpListener,
-    lane: usize,
+    worker: usize,
 ) -> Vec<(String, &'static str, Exchange)> {
     let clock = PausedClock::new(START);
     let address = listener.local_addr().unwrap();
     let mut exchanges = Vec::new();
-    for index in 0..REQUESTS_PER_LANE {
-        let behaviour = BEHAVIOURS[(lane + index) % BEHAVIOURS.len()];
-        let tag = format!("{lane}-{index}");
+    for index in 0..REQUESTS_PER_WORKER {
+        let behaviour = BEHAVIOURS[(worker + index) % BEHAVIOURS.len()];
+        let tag = format!("{worker}-{index}");
         let mut request = Request::new("POST", &format!("/{tag}"));
         request.headers.append("Behaviour", behaviour);
         let mut exchange = Box::pin(send(pool, &clock, address, &request));
@@ -88,31 +88,31 @@
     exchanges
 }
 
-/// Guards against an answer that belongs to another request, a truncated answer that is accepted,
-/// and a request that ran although it counts as not sent.
+/// Guards against returning the answer to another request, accepting a truncated answer, and
+/// reporting a request as not sent although it ran.
 #[async_std::test]
 async fn each_answer_belongs_to_its_request() {
     let clock = PausedClock::new(START);
     let pool = Arc::new(pool(&clock, CONNECTIONS));
     let listener = Arc::new(TcpListener::bind("127.0.0.1:0").await.unwrap());
-    let seen = Arc::new(Mutex::new(Vec::new()));
+    let received = Arc::new(Mutex::new(Vec::new()));
     let accepting = task::spawn({
-        let (listener, seen) = (Arc::clone(&listener), Arc::clone(&seen));
+        let (listener, received) = (Arc::clone(&listener), Arc::clone(&received));
         async move {
             while let Ok((stream, _)) = listener.accept().await {
-                task::spawn(serve(stream, Arc::clone(&seen)));
+                task::spawn(serve(stream, Arc::clone(&received)));
             }
         }
     });
-    let lanes: Vec<_> = (0..LANES)
-        .map(|lane| {
+    let workers: Vec<_> = (0..WORKERS)
+        .map(|worker| {
             let (pool, listener) = (Arc::clone(&pool), Arc::clone(&listener));
-            task::spawn(async move { run_lane(&pool, &listener, lane).await })
+            task::spawn(async move { run_worker(&pool, &listener, worker).await })
         })
         .collect();
     let mut answered = 0;
-    for lane in lanes {
-        for (tag, behaviour, exchange) in lane.await {
+    for worker in workers {
+        for (tag, behaviour, exchange) in worker.await {
             match exchange.result {
                 ExchangeResult::Answered(response) => {
                     assert_eq!(response.body.escape_ascii().to_string(), tag);
@@ -120,16 +120,16 @@
                     answered += 1;
                 }
                 ExchangeResult::NotSent(reason) => {
-                    assert!(!seen.lock().contains(&tag), "{tag} ran: {reason:?}");
+                    assert!(!received.lock().contains(&tag), "{tag} ran: {reason:?}");
                 }
                 ExchangeResult::Unknown { .. } => {}
             }
         }
     }
     accepting.cancel().await;
-    // A connection that the target closed may fail the next exchange; most are not affected.
+    // The next exchange on a connection that the target closed may fail; most are not affected.
     assert!(
-        answered > LANES * REQUESTS_PER_LANE / 4,
+        answered > WORKERS * REQUESTS_PER_WORKER / 4,
         "{answered} answers"
     );
 }
--- a/crates/auburnbridge_target/tests/reuse.rs
+++ b/crates/auburnbridge_target/tests/reuse.rs
@@ -1,4 +1,4 @@
-//! Guards the reuse of connections: which are kept, which are closed, and how many there are.
+//! Tests the reuse of connections: which are kept, which are closed, and how many there are.
 
 mod support;
 
@@ -8,17 +8,18 @@
 use auburnbridge_types::{Clock, Millis};
 use futures_lite::future::{poll_once, zip};
 use support::{
-    CLOSE_WAIT, Fixture, OK, TIME_LIMIT, answer, answered, beside, describe, wait_for_socket,
+    CLOSE_WAIT, Fixture, OK, TIME_LIMIT, answered, describe, run_with_target, serve_raw,
+    wait_for_socket,
 };
 
 const FRESHNESS: Millis = Millis(1_000);
 const IDLE_TIMEOUT: Millis = Millis(30_000);
 
-/// Runs one exchange on a new connection and gives the target's end of it.
+/// Runs one exchange on a new connection and returns the target's end of it.
 async fn connect(target: &Fixture) -> Connection<TcpStream> {
     let answering = async {
         let mut connection = target.accept().await;
-        answer(&mut connection, OK).await;
+        serve_raw(&mut connection, OK).await;
         connection
     };
     let (result, connection) = zip(target.exchange(), answering).await;
@@ -27,67 +28,72 @@
     connection
 }
 
-/// Guards against a connection for each request.
+/// Guards against opening a connection for each request.
 #[async_std::test]
 async fn a_connection_is_reused_after_a_whole_exchange() {
     let target = Fixture::new(1).await;
     let mut connection = connect(&target).await;
     target.clock.advance(Millis(IDLE_TIMEOUT.0 - 1));
     let more = async {
-        answer(&mut target.accept().await, OK).await;
+        serve_raw(&mut target.accept().await, OK).await;
     };
-    let serving = zip(answer(&mut connection, OK), more);
-    let result = beside(target.exchange(), serving).await;
+    let serving = zip(serve_raw(&mut connection, OK), more);
+    let result = run_with_target(target.exchange(), serving).await;
     assert_eq!(result, answered("ok", true));
 }
 
-/// Guards against a request that goes out on a connection which is closed, expired, or holds bytes
-/// that would be read as its answer.
+/// Guards against sending a request on a connection that is closed, expired, or holds unread bytes,
+/// which would be read as the answer.
 #[async_std::test]
 async fn an_idle_connection_that_is_not_usable_is_replaced() {
-    let events = ["closed", "unasked bytes", "expired", "closed by the pool"];
+    let events = [
+        "closed",
+        "unsolicited bytes",
+        "expired",
+        "closed by the pool",
+    ];
     for event in events {
         let target = Fixture::new(1).await;
         let mut old = connect(&target).await;
-        let pool_end = old.get_ref().peer_addr().unwrap();
-        let mut kept = None;
+        let pool_address = old.get_ref().peer_addr().unwrap();
+        let mut open = None;
         match event {
             "closed" => {
                 drop(old);
-                wait_for_socket(pool_end, |state| state.code == CLOSE_WAIT);
+                wait_for_socket(pool_address, |state| state.code == CLOSE_WAIT);
             }
-            "unasked bytes" => {
+            "unsolicited bytes" => {
                 old.get_mut().write_all(OK).await.unwrap();
-                wait_for_socket(pool_end, |state| state.received_bytes > 0);
-                kept = Some(old);
+                wait_for_socket(pool_address, |state| state.received_bytes > 0);
+                open = Some(old);
             }
             "expired" => {
                 target.clock.advance(IDLE_TIMEOUT);
-                kept = Some(old);
+                open = Some(old);
             }
             _ => {
                 target.pool.close_idle(target.address);
-                kept = Some(old);
+                open = Some(old);
             }
         }
         let second = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond";
         let answering = async {
-            answer(&mut target.accept().await, second).await;
+            serve_raw(&mut target.accept().await, second).await;
         };
-        let misused = async {
-            if let Some(old) = &mut kept
+        let serving_old = async {
+            if let Some(old) = &mut open
                 && old.read_request(&Limits::default()).await.is_ok()
             {
                 old.get_mut().write_all(OK).await.unwrap();
             }
         };
-        let result = beside(target.exchange(), zip(answering, misused)).await;
+        let result = run_with_target(target.exchange(), zip(answering, serving_old)).await;
         assert_eq!(result, answered("second", false), "{event}");
     }
 }
 
-/// Guards against a request that must not be resent on a connection that the target may be about to
-/// close, and against more connections than the bound because an older one stays open.
+/// Guards against sending a request that must not be resent on a connection that the target may be
+/// about to close, and against exceeding the connection limit because the older one stays open.
 #[async_std::test]
 async fn a_request_that_must_not_be_resent_uses_a_fresh_connection() {
     let target = Fixture::new(1).await;
@@ -102,72 +108,73 @@
     };
     let mut old = connect(&target).await;
     target.clock.advance(Millis(FRESHNESS.0 - 1));
-    let result = beside(send_fresh(), answer(&mut old, OK)).await;
+    let result = run_with_target(send_fresh(), serve_raw(&mut old, OK)).await;
     assert_eq!(result, answered("ok", true));
     target.clock.advance(FRESHNESS);
     let serving = async {
         let mut new = target.accept().await;
-        answer(&mut new, OK).await;
+        serve_raw(&mut new, OK).await;
         new
     };
-    let result = beside(send_fresh(), zip(serving, old.wait_for_bytes())).await;
+    let result = run_with_target(send_fresh(), zip(serving, old.wait_for_bytes())).await;
     assert_eq!(result, answered("ok", false));
     assert_eq!(old.wait_for_bytes().await, Ok(false));
 }
 
-/// Guards against a resend, or a claim of `not-run`, when a reused connection dies after the write.
+/// Guards against a resend or a `not-run` result when a reused connection closes after the write.
 #[async_std::test]
-async fn a_reused_connection_that_dies_after_the_write_is_unknown() {
+async fn a_reused_connection_that_closes_after_the_write_is_unknown() {
     let target = Fixture::new(1).await;
     let mut connection = connect(&target).await;
-    let dying = async {
+    let closing = async {
         connection.read_request(&Limits::default()).await.unwrap();
         drop(connection);
-        answer(&mut target.accept().await, OK).await;
+        serve_raw(&mut target.accept().await, OK).await;
     };
-    let result = beside(target.exchange(), dying).await;
+    let result = run_with_target(target.exchange(), closing).await;
     let expected = "unknown: Framing(ClosedBetweenMessages), answer started: false";
     assert_eq!(result, (expected.to_owned(), true));
     assert!(poll_once(target.listener.accept()).await.is_none());
 }
 
-/// Guards against the 408 of a target that closes an idle connection, taken for the answer to the
-/// request that crossed it.
+/// Guards against treating the 408 of a target that closes an idle connection as the answer to a
+/// request that was sent at the same time.
 #[async_std::test]
 async fn an_idle_timeout_on_a_reused_connection_is_no_answer() {
     let raw = b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     let target = Fixture::new(1).await;
     let mut connection = connect(&target).await;
-    let result = beside(target.exchange(), answer(&mut connection, raw)).await;
+    let result = run_with_target(target.exchange(), serve_raw(&mut connection, raw)).await;
     let expected = "unknown: IdleTimeout, answer started: true";
     assert_eq!(result, (expected.to_owned(), true));
     let answering = async {
-        answer(&mut target.accept().await, raw).await;
+        serve_raw(&mut target.accept().await, raw).await;
     };
-    let result = beside(target.exchange(), answering).await;
+    let result = run_with_target(target.exchange(), answering).await;
     assert_eq!(result, ("408 ".to_owned(), false));
 }
 
-/// Guards against more connections than a target accepts, and a waiting request that is stuck.
+/// Guards against opening more connections than the limit, and against a waiting request that never
+/// gets a released connection.
 #[async_std::test]
-async fn connections_are_bounded_and_handed_on() {
+async fn connections_are_limited_and_passed_on() {
     let target = Fixture::new(1).await;
     let serving = async {
         let mut connection = target.accept().await;
-        answer(&mut connection, OK).await;
+        serve_raw(&mut connection, OK).await;
         let more = async {
-            answer(&mut target.accept().await, OK).await;
+            serve_raw(&mut target.accept().await, OK).await;
         };
-        zip(answer(&mut connection, OK), more).await;
+        zip(serve_raw(&mut connection, OK), more).await;
     };
     let both = zip(target.exchange(), target.exchange());
-    let (first, second) = beside(both, serving).await;
+    let (first, second) = run_with_target(both, serving).await;
     assert_eq!(first, answered("ok", false));
     assert_eq!(second, answered("ok", true));
     assert!(poll_once(target.listener.accept()).await.is_none());
 }
 
-/// Guards against a request that waits for a connection beyond its deadline.
+/// Guards against waiting for a connection after the deadline of a request.
 #[async_std::test]
 async fn a_request_without_a_free_connection_is_not_sent() {
     let target = Fixture::new(1).await;
@@ -181,7 +188,7 @@
     assert_eq!(waiting, ("not sent: AllInUse".to_owned(), false));
 }
 
-/// Guards against connections to departed targets that stay open.
+/// Guards against keeping connections to departed targets open.
 #[async_std::test]
 async fn expired_connections_are_closed_without_a_request() {
     let target = Fixture::new(1).await;
--- a/crates/auburnbridge_target/tests/strays.rs
+++ b/crates/auburnbridge_target/tests/strays.rs
@@ -1,4 +1,4 @@
-//! Guards against a late answer to an earlier request that is taken for the answer to this one.
+//! Guards against returning a late answer to an earlier request as the answer to this one.
 
 mod support;
 
@@ -24,8 +24,8 @@
     req
 }
 
-/// Runs one exchange against a target that writes `answers` after it has read the request; gives the
-/// body, and whether the connection was kept.
+/// Runs one exchange with a target that writes `answers` after it has read the request; returns
+/// the body and the number of idle connections.
 fn exchange(answers: &[String]) -> (Option<Vec<u8>>, usize) {
     block_on(async {
         let fixture = Fixture::new(2).await;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn connection_with_the_right_answer_alone_is_kept() {
+fn connection_without_stray_answers_is_kept() {
     assert_eq!(
         exchange(&[answer("a2", "right")]),
         (Some(b"right".to_vec()), 1)
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn endless_answers_to_others_are_given_up() {
+fn too_many_stray_answers_fail_the_exchange() {
     let answers: Vec<String> = (0..8).map(|_| answer("a1", "late")).collect();
     assert_eq!(exchange(&answers), (None, 0));
 }
--- a/crates/auburnbridge_target/tests/support/mod.rs
+++ b/crates/auburnbridge_target/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Raw targets for the tests of the pool, and what the kernel knows of their connections.
+//! Scripted targets for the tests of the pool, and the kernel's state of their sockets.
 
 #![allow(dead_code, reason = "each test file uses a part of this module")]
 
@@ -19,7 +19,7 @@
 /// A complete answer with the body `ok`.
 pub const OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// A pool on a paused clock in front of one raw target.
+/// A pool with a paused clock and the listener of one scripted target.
 pub struct Fixture {
     pub clock: PausedClock,
     pub pool: Pool,
@@ -69,7 +69,7 @@
     pool.exchange(address, request, &limits, deadline).await
 }
 
-/// The result as text, and whether the connection was a reused one.
+/// The result as text, and whether the connection was reused.
 pub fn describe(exchange: Exchange) -> (String, bool) {
     let result = match exchange.result {
         ExchangeResult::Answered(response) => {
@@ -84,19 +84,20 @@
     (result, exchange.reused)
 }
 
+/// The description of an answer with status 200.
 pub fn answered(body: &str, reused: bool) -> (String, bool) {
     (format!("200 {body}"), reused)
 }
 
-/// Reads a request and writes `raw`.
-pub async fn answer(connection: &mut Connection<TcpStream>, raw: &[u8]) {
+/// Reads a request and writes `raw` as the answer.
+pub async fn serve_raw(connection: &mut Connection<TcpStream>, raw: &[u8]) {
     connection.read_request(&Limits::default()).await.unwrap();
     connection.get_mut().write_all(raw).await.unwrap();
 }
 
-/// Runs an exchange to its end beside a raw target, which may still wait for something that a
-/// faulty pool does not do.
-pub async fn beside<T>(exchange: impl Future<Output = T>, target: impl Future) -> T {
+/// Runs an exchange to its end while polling a scripted target, which may still be waiting for
+/// something that a faulty pool doesn't do.
+pub async fn run_with_target<T>(exchange: impl Future<Output = T>, target: impl Future) -> T {
     or(exchange, async {
         let _held = target.await;
         std::future::pending().await
@@ -104,16 +105,17 @@
     .await
 }
 
-/// What the kernel reports of a socket.
+/// State of a TCP socket as reported by the kernel.
 pub struct SocketState {
     pub code: u8,
     pub received_bytes: u64,
 }
 
+/// Code of the state `CLOSE_WAIT` in `/proc/net/tcp`.
 pub const CLOSE_WAIT: u8 = 8;
 
-/// Waits until the kernel reports a state of the socket at `local`, since an event that a raw
-/// target causes reaches the pool's end of the connection only some time later.
+/// Waits until the kernel reports a state of the socket at `local`, since an event caused by a
+/// scripted target takes some time to reach the pool's end of the connection.
 pub fn wait_for_socket(local: SocketAddr, is_reached: impl Fn(&SocketState) -> bool) {
     let end = format!(":{:04X}", local.port());
     loop {
