--- a/crates/auburnbridge/src/commands/api.rs
+++ b/crates/auburnbridge/src/commands/api.rs
@@ -13,10 +13,10 @@
 use crate::failure::Failure;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest answer: the whole rules file.
-const ANSWER_LIMIT: ByteSize = ByteSize(48 << 20);
+/// Limit for a response body; the largest one is a whole rules file.
+const MAX_RESPONSE_BODY: ByteSize = ByteSize(48 << 20);
 
-/// Starts a request with the operator's key, if there is one.
+/// Returns a request without a body that carries the operator's key, if there is one.
 pub(super) fn request(method: &str, path: &str, key: Option<&str>) -> Request {
     let mut req = Request::new(method, path);
     req.headers.append("Host", "auburnbridge");
@@ -26,20 +26,20 @@
     req
 }
 
-/// Reads an operator's key from its file.
+/// Reads an operator's key from a file and trims surrounding white space.
 pub(super) fn read_key(path: &Path) -> Result<String, Failure> {
     std::fs::read_to_string(path)
         .map(|text| text.trim().to_owned())
         .map_err(|error| Failure::new(format!("{}: can't be read: {error}", path.display())))
 }
 
-/// Sends a request and gives the whole answer.
+/// Sends a request on a new connection and returns the response with its whole body.
 pub(super) fn call(address: SocketAddr, req: &Request) -> Result<Response, Failure> {
     let exchange = async {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let mut connection = Connection::new(stream);
-        let limits = Limits::default().with_body_bytes(ANSWER_LIMIT);
+        let limits = Limits::default().with_body_bytes(MAX_RESPONSE_BODY);
         connection
             .write_request(req)
             .await
@@ -54,8 +54,8 @@
         .map_err(|error| Failure::new(format!("{address}: {error}")))
 }
 
-/// The body of a successful answer, or the API's error.
-pub(super) fn body_of(response: &Response) -> Result<String, Failure> {
+/// Returns the body of a response with a 2xx status; any other status is an error.
+pub(super) fn success_body(response: &Response) -> Result<String, Failure> {
     let body = String::from_utf8_lossy(&response.body).into_owned();
     if (200..300).contains(&response.status) {
         Ok(body)
--- a/crates/auburnbridge/src/commands/check.rs
+++ b/crates/auburnbridge/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `auburnbridge check`
+//! `auburnbridge check`: validates settings, documents and rules.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
     /// rules file
     #[argh(option)]
     rules: Option<PathBuf>,
-    /// rules file to which the difference is shown
+    /// rules file to compare with; prints the changes from it to the file of --rules
     #[argh(option)]
     against: Option<PathBuf>,
 }
@@ -61,9 +61,9 @@
         check_document(path)?;
     }
     let Some(path) = &arguments.rules else {
-        return if arguments.names_nothing() {
+        return if arguments.is_empty() {
             Err(Failure::new(
-                "nothing to check; name --rules, --document or the settings of a role",
+                "nothing to check; give --rules, --document or the settings of a role",
             ))
         } else {
             Ok(())
@@ -85,7 +85,8 @@
 }
 
 impl CheckArguments {
-    fn names_nothing(&self) -> bool {
+    /// Whether no file to check was given.
+    fn is_empty(&self) -> bool {
         let files = [
             &self.entry_settings,
             &self.keeper_settings,
@@ -99,7 +100,7 @@
 }
 
 fn check_document(path: &Path) -> Result<(), Failure> {
-    let text = read(path)?;
+    let text = read_file(path)?;
     let routes = UtilityDialect
         .read_document(text.as_bytes())
         .map_err(|error| Failure::new(format!("{}: {error}", path.display())))?;
@@ -113,13 +114,13 @@
     Ok(())
 }
 
-fn read(path: &Path) -> Result<String, Failure> {
+fn read_file(path: &Path) -> Result<String, Failure> {
     fs::read_to_string(path)
         .map_err(|error| Failure::new(format!("{}: can't be read: {error}", path.display())))
 }
 
 fn load_rules(path: &Path) -> Result<Rules, Failure> {
-    let text = read(path)?;
+    let text = read_file(path)?;
     Rules::parse(&text).map_err(|errors| {
         let lines: Vec<String> = errors
             .iter()
--- a/crates/auburnbridge/src/commands/control.rs
+++ b/crates/auburnbridge/src/commands/control.rs
@@ -1,4 +1,4 @@
-//! `auburnbridge control`
+//! `auburnbridge control`: runs a keeper with a platform's control interface.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,11 +16,11 @@
 use parking_lot::Mutex;
 
 use crate::commands::keeper::run_keeper;
-use crate::commands::{init_json_log, port, reload};
+use crate::commands::{init_json_log, port, reload_settings};
 use crate::failure::Failure;
-use crate::signals::ProcessSignals;
+use crate::signals::StopAndReloadSignals;
 
-/// Holds the replicated state and serves a platform's control interface.
+/// Runs a keeper, which holds a replica of the fleet's state, with a platform's control interface.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "control")]
 pub(crate) struct ControlArguments {
@@ -32,9 +32,9 @@
 pub(crate) fn run(arguments: &ControlArguments) -> Result<(), Failure> {
     let settings = ControlSettings::load(&arguments.settings)?;
     init_json_log(settings.log_lines_per_second)?;
-    let mut signals = ProcessSignals::new()?;
+    let mut signals = StopAndReloadSignals::new()?;
     let peer_port = port(settings.peer_port)?;
-    let keepers = Arc::new(Mutex::new(keepers_at(&settings.seeds, peer_port)));
+    let keepers = Arc::new(Mutex::new(keeper_addresses(&settings.seeds, peer_port)));
     let options = KeeperOptions {
         vm: settings.vm_address.into(),
         peer_address: SocketAddr::new(settings.vm_address, peer_port),
@@ -64,11 +64,11 @@
         operator_address: None,
         operator_keys: OperatorKeys::new(Vec::new()),
     };
-    // Everything but the seeds holds from the next start on.
+    // Changes of other settings than the seeds take effect at the next start.
     let stopped = signals.reload_until_stop(|| {
-        if let Some(settings) = reload::<ControlSettings>(&arguments.settings) {
+        if let Some(settings) = reload_settings::<ControlSettings>(&arguments.settings) {
             info!(seeds:? = settings.seeds; "settings reloaded");
-            *keepers.lock() = keepers_at(&settings.seeds, peer_port);
+            *keepers.lock() = keeper_addresses(&settings.seeds, peer_port);
         }
     });
     let counts = task::block_on(run_keeper(options, stopped))?;
@@ -76,8 +76,8 @@
     Ok(())
 }
 
-/// The keepers behind control addresses.
-fn keepers_at(seeds: &[SocketAddr], peer_port: u16) -> Vec<PeerAddress> {
+/// Peer addresses of the keepers with these control addresses.
+fn keeper_addresses(seeds: &[SocketAddr], peer_port: u16) -> Vec<PeerAddress> {
     seeds
         .iter()
         .map(|seed| PeerAddress::at(seed.ip(), peer_port))
--- a/crates/auburnbridge/src/commands/entry.rs
+++ b/crates/auburnbridge/src/commands/entry.rs
@@ -1,4 +1,4 @@
-//! `auburnbridge entry`
+//! `auburnbridge entry`: runs an entry.
 
 use std::path::PathBuf;
 
@@ -11,7 +11,7 @@
 use crate::failure::Failure;
 use crate::signals::StopSignals;
 
-/// Serves callers.
+/// Runs an entry, which forwards callers' requests by the fleet's rules.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "entry")]
 pub(crate) struct EntryArguments {
--- a/crates/auburnbridge/src/commands/gateway.rs
+++ b/crates/auburnbridge/src/commands/gateway.rs
@@ -1,4 +1,4 @@
-//! `auburnbridge gateway`
+//! `auburnbridge gateway`: runs a gateway.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -13,11 +13,11 @@
 use log::info;
 use parking_lot::Mutex;
 
-use crate::commands::{init_json_log, port, reload};
+use crate::commands::{init_json_log, port, reload_settings};
 use crate::failure::Failure;
-use crate::signals::ProcessSignals;
+use crate::signals::StopAndReloadSignals;
 
-/// Forwards requests along published routes.
+/// Runs a gateway, which forwards callers' requests along the routes published by a platform.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "gateway")]
 pub(crate) struct GatewayArguments {
@@ -29,8 +29,8 @@
 pub(crate) fn run(arguments: &GatewayArguments) -> Result<(), Failure> {
     let settings = GatewaySettings::load(&arguments.settings)?;
     init_json_log(settings.log_lines_per_second)?;
-    let mut signals = ProcessSignals::new()?;
-    let seeds = Arc::new(Mutex::new(addresses(&settings.seeds)));
+    let mut signals = StopAndReloadSignals::new()?;
+    let seeds = Arc::new(Mutex::new(ip_addresses(&settings.seeds)));
     let options = GatewayOptions {
         vm: settings.vm_address.into(),
         data_centre: settings.data_centre,
@@ -56,11 +56,11 @@
         let gateway = RunningGateway::start(options)
             .await
             .map_err(|report| Failure::from_report(&report))?;
-        // Everything but the seeds holds from the next start on.
+        // Changes of other settings than the seeds take effect at the next start.
         let stopped = signals.reload_until_stop(|| {
-            if let Some(settings) = reload::<GatewaySettings>(&arguments.settings) {
+            if let Some(settings) = reload_settings::<GatewaySettings>(&arguments.settings) {
                 info!(seeds:? = settings.seeds; "settings reloaded");
-                *seeds.lock() = addresses(&settings.seeds);
+                *seeds.lock() = ip_addresses(&settings.seeds);
             }
         });
         stopped.await;
@@ -73,6 +73,6 @@
     })
 }
 
-fn addresses(seeds: &[SocketAddr]) -> Vec<IpAddr> {
+fn ip_addresses(seeds: &[SocketAddr]) -> Vec<IpAddr> {
     seeds.iter().map(SocketAddr::ip).collect()
 }
--- a/crates/auburnbridge/src/commands/keeper.rs
+++ b/crates/auburnbridge/src/commands/keeper.rs
@@ -1,4 +1,4 @@
-//! `auburnbridge keeper`
+//! `auburnbridge keeper`: runs a keeper.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 use crate::failure::Failure;
 use crate::signals::StopSignals;
 
-/// Interval at which a failure of the keeper's thread is noticed.
-const FAILURE_CHECK: Duration = Duration::from_millis(250);
+/// Interval at which the keeper's thread is checked for failure.
+const FAILURE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Holds the replicated state.
+/// Runs a keeper, which holds a replica of the fleet's state.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "keeper")]
 pub(crate) struct KeeperArguments {
@@ -63,7 +63,7 @@
     Ok(())
 }
 
-/// Runs a keeper until it is told to stop or fails.
+/// Runs a keeper until `stopped` completes or the keeper fails.
 pub(super) async fn run_keeper(
     options: KeeperOptions,
     stopped: impl Future<Output = ()>,
@@ -73,7 +73,7 @@
         .map_err(|report| Failure::from_report(&report))?;
     let failed = async {
         while !keeper.has_failed() {
-            task::sleep(FAILURE_CHECK).await;
+            task::sleep(FAILURE_CHECK_INTERVAL).await;
         }
     };
     stopped.or(failed).await;
@@ -90,7 +90,7 @@
             Ok(OperatorKey {
                 digest: KeyDigest(key.sha256.0),
                 author: key.name.parse()?,
-                // An operator whose name is also a team's gets the team's lines.
+                // If a team has the operator's name, its `team` lines apply to the key.
                 team: key.name.parse().ok(),
                 scopes: match &key.services {
                     ServiceScope::All => vec![TeamScope::Everything],
--- a/crates/auburnbridge/src/commands/keys.rs
+++ b/crates/auburnbridge/src/commands/keys.rs
@@ -1,4 +1,4 @@
-//! `auburnbridge keys`
+//! `auburnbridge keys`: creates certificates and keys for connections between processes.
 
 use std::path::PathBuf;
 
@@ -11,7 +11,7 @@
 
 const DAY_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// Makes the fleet's certificate authority and the keys of its processes.
+/// Creates the fleet's certificate authority and the keys of its processes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "keys")]
 pub(crate) struct KeysArguments {
@@ -26,7 +26,7 @@
     Issue(IssueArguments),
 }
 
-/// Makes an authority; its key stays with the operators.
+/// Creates a certificate authority; its key stays with the operators.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "authority")]
 struct AuthorityArguments {
@@ -38,7 +38,7 @@
     days: u64,
 }
 
-/// Makes the key and certificate of one process.
+/// Creates the key and certificate of one process.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "issue")]
 struct IssueArguments {
@@ -59,12 +59,12 @@
     days: u64,
 }
 
-/// Longest validity, in days: a century.
-const MOST_DAYS: u64 = 36_500;
+/// Longest validity in days: 100 years.
+const MAX_DAYS: u64 = 36_500;
 
 fn validity(days: u64) -> Result<Validity, Failure> {
-    if !(1..=MOST_DAYS).contains(&days) {
-        let message = format!("--days {days}: name a number from 1 to {MOST_DAYS}");
+    if !(1..=MAX_DAYS).contains(&days) {
+        let message = format!("--days {days}: must be a number from 1 to {MAX_DAYS}");
         return Err(Failure::new(message));
     }
     Ok(Validity::starting_at(
--- a/crates/auburnbridge/src/commands/mod.rs
+++ b/crates/auburnbridge/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each subcommand.
+//! Subcommands, one module each, and what several of them use.
 
 mod api;
 pub(crate) mod check;
@@ -19,7 +19,7 @@
 
 use crate::failure::Failure;
 
-/// Makes JSON lines on standard output the log of the process.
+/// Initializes logging as JSON lines on standard output.
 fn init_json_log(lines_per_second: u64) -> Result<(), Failure> {
     let options = LogOptions {
         lines_per_second,
@@ -29,19 +29,20 @@
         .map_err(|error| Failure::new(format!("can't start the log: {error}")))
 }
 
-/// Loads settings that may have changed; `None` if the file is invalid, so that the former ones stay.
-fn reload<S: Settings>(path: &Path) -> Option<S> {
+/// Loads changed settings; logs a warning and returns `None` if the file is invalid, in which case the
+/// current settings stay in force.
+fn reload_settings<S: Settings>(path: &Path) -> Option<S> {
     S::load(path)
         .inspect_err(|error| warn!(error:% = error; "settings kept: the changed file is invalid"))
         .ok()
 }
 
-/// A port of the settings, whose range is checked when they are loaded.
+/// Converts a port number of the settings, whose range is already checked when they are loaded.
 fn port(number: u32) -> Result<u16, Failure> {
-    u16::try_from(number).map_err(|_| Failure::new(format!("{number} is no port")))
+    u16::try_from(number).map_err(|_| Failure::new(format!("{number} is not a valid port number")))
 }
 
-/// Addresses of processes as the transport takes them.
+/// Converts the addresses of processes in the settings to those of the transport.
 fn peer_addresses(locations: &[PeerLocation]) -> Vec<PeerAddress> {
     locations
         .iter()
--- a/crates/auburnbridge/src/commands/rules.rs
+++ b/crates/auburnbridge/src/commands/rules.rs
@@ -1,4 +1,4 @@
-//! `auburnbridge rules`
+//! `auburnbridge rules`: reads and changes a fleet's rules through the administration API.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
     key_file: PathBuf,
 }
 
-/// Puts a rules file in place of the present one.
+/// Replaces the rules by those of a file.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "put")]
 struct PutArguments {
@@ -58,15 +58,15 @@
     /// rules file
     #[argh(option)]
     file: PathBuf,
-    /// revision to which the file was made; default: the present one
+    /// revision on which the file is based (default: the one in force)
     #[argh(option)]
     revision: Option<u64>,
-    /// id of the edit (UUID version 7), to send the same edit again after a lost answer
+    /// id of the edit (UUID version 7); give it to resend an edit whose answer was lost
     #[argh(option)]
     edit_id: Option<IdempotencyKey>,
 }
 
-/// Prints which VM has which revision in force.
+/// Prints the revision in force on each VM.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct StatusArguments {
@@ -78,7 +78,7 @@
     key_file: PathBuf,
 }
 
-/// Prints the last accepted edits.
+/// Prints the most recently accepted edits.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 struct HistoryArguments {
@@ -112,7 +112,7 @@
 
 fn get(address: SocketAddr, path: &str, key: &str) -> Result<String, Failure> {
     let response = api::call(address, &api::request("GET", path, Some(key)))?;
-    api::body_of(&response)
+    api::success_body(&response)
 }
 
 fn put(arguments: &PutArguments) -> Result<String, Failure> {
@@ -129,7 +129,7 @@
     let key = api::read_key(&arguments.key_file)?;
     let expected = match arguments.revision {
         Some(revision) => format!("\"{revision}\""),
-        None => present_revision(arguments.address, &key)?,
+        None => current_revision(arguments.address, &key)?,
     };
     let edit_id = arguments.edit_id.unwrap_or_else(new_edit_id);
     let mut req = api::request("PUT", RULES_PATH, Some(&key));
@@ -140,13 +140,13 @@
     let response = api::call(arguments.address, &req).map_err(|failure| {
         Failure::new(format!("{failure}; send it again with --edit-id {edit_id}"))
     })?;
-    api::body_of(&response)
+    api::success_body(&response)
 }
 
-/// The entity tag of the rules in force.
-fn present_revision(address: SocketAddr, key: &str) -> Result<String, Failure> {
+/// Entity tag of the rules in force.
+fn current_revision(address: SocketAddr, key: &str) -> Result<String, Failure> {
     let response = api::call(address, &api::request("GET", RULES_PATH, Some(key)))?;
-    api::body_of(&response)?;
+    api::success_body(&response)?;
     response
         .headers
         .text("ETag")
--- a/crates/auburnbridge/src/commands/targets.rs
+++ b/crates/auburnbridge/src/commands/targets.rs
@@ -1,4 +1,4 @@
-//! `auburnbridge targets`
+//! `auburnbridge targets`: lists the targets that an entry knows.
 
 use std::net::SocketAddr;
 
@@ -19,6 +19,6 @@
 pub(crate) fn run(arguments: &TargetsArguments) -> Result<(), Failure> {
     let req = api::request("GET", "/auburnbridge/targets", None);
     let response = api::call(arguments.address, &req)?;
-    println!("{}", api::body_of(&response)?);
+    println!("{}", api::success_body(&response)?);
     Ok(())
 }
--- a/crates/auburnbridge/src/failure.rs
+++ b/crates/auburnbridge/src/failure.rs
@@ -1,8 +1,8 @@
-//! The one line that a command prints before it exits with a failure.
+//! Error message of a failed command, printed to standard error.
 
 use std::fmt;
 
-/// Why a command failed.
+/// Error message that a command prints before it exits with a failure status.
 #[derive(Debug)]
 pub(crate) struct Failure(String);
 
@@ -11,9 +11,9 @@
         Self(message.into())
     }
 
-    /// All contexts and attachments of a report, outermost first.
+    /// Joins the contexts and printable attachments of a report, outermost first.
     pub(crate) fn from_report<C: std::error::Error>(report: &error_stack::Report<C>) -> Self {
-        let mut parts: Vec<String> = Vec::new();
+        let mut messages: Vec<String> = Vec::new();
         for frame in report.frames() {
             let text = match frame.kind() {
                 error_stack::FrameKind::Context(context) => context.to_string(),
@@ -22,9 +22,9 @@
                 )) => attachment.to_string(),
                 error_stack::FrameKind::Attachment(_) => continue,
             };
-            parts.push(text);
+            messages.push(text);
         }
-        Self(parts.join(": "))
+        Self(messages.join(": "))
     }
 }
 
--- a/crates/auburnbridge/src/main.rs
+++ b/crates/auburnbridge/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of auburnbridge: parses arguments, calls a role's library and maps the result to an
+//! Command line of auburnbridge: parses the arguments, runs the command and maps its result to an
 //! exit code.
 
 mod commands;
@@ -9,7 +9,7 @@
 
 use argh::FromArgs;
 
-/// A proxy fleet between callers and targets that fail gray.
+/// A proxy fleet between callers and targets that handles gray failures of the targets.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -30,15 +30,15 @@
 }
 
 impl Command {
-    /// Whether the command starts the JSON log itself, once it has read its settings.
-    fn logs_json(&self) -> bool {
+    /// Whether the command initializes the JSON log itself after it has read its settings.
+    fn uses_json_log(&self) -> bool {
         matches!(self, Self::Gateway(_) | Self::Control(_))
     }
 }
 
 fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    if !arguments.command.logs_json() {
+    if !arguments.command.uses_json_log() {
         env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
             .format_timestamp_millis()
             .init();
--- a/crates/auburnbridge/src/signals.rs
+++ b/crates/auburnbridge/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that stop a process.
+//! Handlers for the signals that stop a process or reload its settings.
 
 use futures_lite::StreamExt;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -6,7 +6,7 @@
 
 use crate::failure::Failure;
 
-/// The stop signals of a process, in the order of their arrival.
+/// Receives SIGTERM and SIGINT in the order of their arrival.
 pub(crate) struct StopSignals(Signals);
 
 impl StopSignals {
@@ -16,23 +16,24 @@
             .map_err(|error| Failure::new(format!("can't handle signals: {error}")))
     }
 
-    /// Completes with the next signal.
+    /// Waits for the next stop signal.
     pub(crate) async fn next(&mut self) {
         self.0.next().await;
     }
 }
 
-/// The signals of a process whose settings may change, in the order of their arrival.
-pub(crate) struct ProcessSignals(Signals);
+/// Receives SIGTERM, SIGINT and SIGHUP in the order of their arrival, for processes that can reload
+/// their settings.
+pub(crate) struct StopAndReloadSignals(Signals);
 
-impl ProcessSignals {
+impl StopAndReloadSignals {
     pub(crate) fn new() -> Result<Self, Failure> {
         Signals::new([SIGTERM, SIGINT, SIGHUP])
             .map(Self)
             .map_err(|error| Failure::new(format!("can't handle signals: {error}")))
     }
 
-    /// Completes with the next signal to stop; `reload` is called for each SIGHUP before it.
+    /// Waits for the next stop signal and calls `reload` for each SIGHUP until then.
     pub(crate) async fn reload_until_stop(&mut self, mut reload: impl FnMut()) {
         while let Some(SIGHUP) = self.0.next().await {
             reload();
