--- a/crates/auburnbridge/tests/processes/control.rs
+++ b/crates/auburnbridge/tests/processes/control.rs
@@ -1,4 +1,5 @@
-//! Guards the rules, the membership and the durable state on real processes.
+//! Tests of the rules, the group of keepers, departures of targets and the stored state on real
+//! processes.
 
 use crate::fleet::{Fleet, RULES, key, outcome};
 
@@ -11,8 +12,8 @@
         .is_ok_and(|response| response.status == 200)
 }
 
-/// Guards H7: an accepted line comes into force on every entry, also on one that was frozen when it
-/// was accepted and on one that restarts while the keepers are away.
+/// Guards against an accepted line that never comes into force on some entry: one that was frozen when
+/// the line was accepted, or one that restarts while the keepers are down.
 #[test]
 fn accepted_rules_reach_every_entry_and_survive_restarts() {
     let mut fleet = Fleet::ready(3);
@@ -33,13 +34,14 @@
     }
     fleet.entries[0].kill();
     fleet.entries[0].restart();
-    fleet.wait_until("the restarted entry learned from the others", |fleet| {
-        serves_catalogue(fleet, 0)
-    });
+    fleet.wait_until(
+        "the restarted entry gets the rules from the other entries",
+        |fleet| serves_catalogue(fleet, 0),
+    );
     for keeper in &mut fleet.keepers {
         keeper.restart();
     }
-    fleet.wait_until("the keepers are back with the rules", |fleet| {
+    fleet.wait_until("a restarted keeper returns the rules", |fleet| {
         (0..3).any(|keeper| {
             fleet
                 .rules_command(keeper, &["get"])
@@ -49,8 +51,8 @@
     assert!(serves_catalogue(&fleet, 1), "the line must not revert");
 }
 
-/// Guards against a lost or doubled edit: a resend of an edit whose answer was lost gets the first
-/// answer, a stale edit is refused, and racing operators never overwrite each other unseen.
+/// Guards against a lost or repeated edit: a resend of an edit whose answer was lost gets the first
+/// answer, a stale edit is refused, and of concurrent edits to one revision at most one is accepted.
 #[test]
 fn edits_are_applied_once_and_stale_ones_are_refused() {
     let fleet = Fleet::start(0);
@@ -84,7 +86,7 @@
     assert!(first.unwrap().contains("\"revision\":2"));
     assert!(
         again.unwrap().contains("\"revision\":2"),
-        "the first answer again"
+        "the resend gets the first answer"
     );
 
     let stale = ["put", "--file", path, "--revision", "1"];
@@ -92,7 +94,7 @@
     assert!(error.contains("412"), "{error}");
 
     let accepted: Vec<bool> = std::thread::scope(|scope| {
-        let racers: Vec<_> = (0..3)
+        let threads: Vec<_> = (0..3)
             .map(|keeper| {
                 let fleet = &fleet;
                 scope.spawn(move || {
@@ -101,20 +103,20 @@
                 })
             })
             .collect();
-        racers
+        threads
             .into_iter()
-            .map(|racer| racer.join().unwrap())
+            .map(|thread| thread.join().unwrap())
             .collect()
     });
-    let winners = accepted.iter().filter(|accepted| **accepted).count();
+    let accepted_count = accepted.iter().filter(|accepted| **accepted).count();
     assert!(
-        winners <= 1,
-        "{winners} of three racing edits were accepted"
+        accepted_count <= 1,
+        "{accepted_count} of three concurrent edits were accepted"
     );
 }
 
-/// Guards against a loss right after a repair: a keeper loses its disk, is replaced, and then a
-/// second keeper is lost. Nothing that was accepted may be missing, and no key may run again.
+/// Guards against lost state when a keeper loses its disk, is replaced, and then a second keeper loses
+/// its disk: accepted rules must still be there, and no key may run again.
 #[test]
 fn repair_followed_by_a_second_loss_loses_nothing() {
     let mut fleet = Fleet::ready(1);
@@ -126,16 +128,16 @@
     fleet.put_rules(&format!("{RULES}{EXTRA_ROUTE}"));
 
     fleet.keepers[2].kill();
-    fleet.lose_disk(2);
+    fleet.remove_data_folder(2);
     fleet.keepers[2].restart();
-    fleet.wait_until("the replaced keeper votes", |fleet| {
+    fleet.wait_until("the replaced keeper is a voter", |fleet| {
         fleet.keepers[2].log().matches("is a voter").count() == 2
     });
     fleet.keepers[1].kill();
-    fleet.lose_disk(1);
+    fleet.remove_data_folder(1);
 
     let mut resend = None;
-    fleet.wait_until("the keepers that are left answer", |fleet| {
+    fleet.wait_until("the remaining keepers answer", |fleet| {
         let response = fleet.post(0, "/slips", &ran, "ward 3", "1").unwrap();
         let is_answered = response.status == 200;
         resend = Some(response);
@@ -156,7 +158,7 @@
     );
 }
 
-/// Guards H5: a target that leaves gets no new work from any entry, whichever entry it told.
+/// Guards against new requests to a leaving target, from any entry and whichever entry it notified.
 #[test]
 fn leaving_target_gets_no_new_work() {
     let fleet = Fleet::ready(3);
@@ -179,8 +181,8 @@
     }
 }
 
-/// Guards against the loss of the whole fleet's state: all keepers and entries are killed after many
-/// changes and come back as they were.
+/// Guards against lost rules and lost ledger entries when all keepers and entries are killed after
+/// many changes and started again.
 #[test]
 fn everything_restarts_as_it_was() {
     let mut fleet = Fleet::ready(1);
@@ -218,8 +220,8 @@
     assert_eq!(fleet.executions(&ran), 1);
 }
 
-/// Guards H4 against a change of the rules: a resend must not run again because its route has moved
-/// to another service meanwhile.
+/// Guards against a second run of a keyed request that is sent again after its route was moved to
+/// another service.
 #[test]
 fn resend_after_its_route_moved_does_not_run_again() {
     let fleet = Fleet::ready(1);
@@ -237,14 +239,15 @@
     assert_eq!(fleet.executions(&ran), 1);
 }
 
-/// Guards against an old copy of a keeper's folder that votes, or runs on unnoticed.
+/// Guards against a keeper that starts from an old copy of its data folder and votes, or keeps running
+/// without an error.
 #[test]
 fn old_copy_of_a_folder_ends_with_an_error() {
     let mut fleet = Fleet::ready(1);
     fleet.keepers[2].kill();
-    fleet.copy_folder(2, "old-copy");
+    fleet.copy_data_folder(2, "old-copy");
     fleet.keepers[2].restart();
-    fleet.wait_until("the later start is known to the peers", |fleet| {
+    fleet.wait_until("the second start is confirmed by the peers", |fleet| {
         fleet.keepers[2]
             .log()
             .matches("start confirmed by its peers")
@@ -257,10 +260,13 @@
         200
     );
     fleet.keepers[2].kill();
-    fleet.restore_folder(2, "old-copy");
+    fleet.restore_data_folder(2, "old-copy");
     for _ in 0..2 {
         fleet.keepers[2].restart();
-        assert!(!fleet.keepers[2].wait(), "it must end with a failure");
+        assert!(
+            !fleet.keepers[2].wait(),
+            "the keeper must exit with a failure"
+        );
         assert!(
             fleet.keepers[2]
                 .log()
--- a/crates/auburnbridge/tests/processes/fleet.rs
+++ b/crates/auburnbridge/tests/processes/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet of real processes with stand-in targets inside the test.
+//! A small fleet of real keeper and entry processes, with stand-in targets in the test process.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -13,15 +13,15 @@
 use auburnbridge_standin::load::new_key;
 use auburnbridge_standin::{SendError, Target, TargetOptions, send};
 
-/// Longest time for a state to be reached; a test that exceeds it fails.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-pub const POLL: Duration = Duration::from_millis(20);
+/// Time within which an expected state must be reached, or the test fails.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const OPERATOR_KEY: &str = "fleet-test-operator-key";
 /// SHA-256 of the key above.
 const OPERATOR_KEY_SHA256: &str =
     "3986b75529708a85e4d71692d177a8ec8ec8595120e1849c84be68e46e5197ff";
 
-/// Rules of most tests.
+/// Rules that most tests use.
 pub const RULES: &str = "\
 service stock slots-floor 3 slots-per-target 3 ejection fast # asked by the tests
 service dispatch slots-floor 3 slots-per-target 3 ejection careful # asked by the tests
@@ -29,14 +29,16 @@
 route POST /slips to dispatch once timeout 3s # asked by the tests
 ";
 
-/// Ports below the ephemeral range, so that no outgoing connection takes one.
-static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
+/// Offset of the next port to try. All ports are below the ephemeral range, so that no outgoing
+/// connection takes one.
+static NEXT_PORT_OFFSET: AtomicU16 = AtomicU16::new(0);
 
+/// Returns a loopback port that is free for TCP and UDP.
 pub fn free_port() -> u16 {
     loop {
-        let offset = NEXT_PORT.fetch_add(1, Ordering::SeqCst);
-        // Test processes with neighbouring ids take ports that are far apart.
-        let start = u16::try_from(std::process::id() * 61 % 8_000).expect("below 8,000");
+        let offset = NEXT_PORT_OFFSET.fetch_add(1, Ordering::SeqCst);
+        // Test processes with adjacent ids start 61 ports apart.
+        let start = u16::try_from(std::process::id() * 61 % 8_000).expect("an offset below 8,000");
         let port = 12_000 + (start + offset) % 16_000;
         let address = (Ipv4Addr::LOCALHOST, port);
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
@@ -59,7 +61,7 @@
 }
 
 impl Process {
-    /// Describes a process that doesn't run yet.
+    /// Creates the description of a process without starting it.
     pub fn new(name: &str, role: &'static str, settings: PathBuf, log: PathBuf) -> Self {
         Self {
             name: name.to_owned(),
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Starts the process, whose output goes to its log.
+    /// Starts the process and appends its output to its log.
     pub fn start(&mut self) {
         let log = fs::OpenOptions::new()
             .create(true)
@@ -88,7 +90,7 @@
     }
 
     fn signal(&self, signal: &str) {
-        let pid = self.child.as_ref().expect("the process runs").id();
+        let pid = self.child.as_ref().expect("the process was started").id();
         let status = Command::new("kill")
             .args([format!("-{signal}"), pid.to_string()])
             .status()
@@ -96,7 +98,7 @@
         assert!(status.success(), "can't send {signal} to {}", self.name);
     }
 
-    /// Ends the process without a chance to clean up.
+    /// Kills the process with SIGKILL and waits until it has ended.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().unwrap();
@@ -104,27 +106,27 @@
         }
     }
 
-    /// Ends the process at once; [`Process::kill`] collects it later.
+    /// Kills the process with SIGKILL without waiting; [`Process::kill`] reaps it later.
     pub fn crash(&self) {
         self.signal("KILL");
     }
 
-    /// Stops the process as it is, without ending it.
+    /// Suspends the process with SIGSTOP.
     pub fn freeze(&self) {
         self.signal("STOP");
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a frozen process with SIGCONT.
     pub fn thaw(&self) {
         self.signal("CONT");
     }
 
-    /// Asks for a graceful shutdown.
+    /// Requests a graceful shutdown with SIGTERM.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Tells the process that its settings have changed.
+    /// Makes the process reload its settings with SIGHUP.
     pub fn reload(&self) {
         self.signal("HUP");
     }
@@ -135,32 +137,30 @@
         child.is_some_and(|child| child.try_wait().unwrap().is_none())
     }
 
-    /// Waits for the end of the process; whether it ended with success.
+    /// Waits for the process to exit; returns whether it exited with success.
     pub fn wait(&mut self) -> bool {
-        let mut child = self.child.take().expect("the process runs");
+        let mut child = self.child.take().expect("the process was started");
         child.wait().unwrap().success()
     }
 
-    /// Starts it again after a kill.
+    /// Starts the process again after it has ended.
     pub fn restart(&mut self) {
-        assert!(self.child.is_none(), "{} still runs", self.name);
+        assert!(self.child.is_none(), "{} is still running", self.name);
         self.start();
     }
 
-    /// Everything that it logged.
+    /// Output of all starts of the process.
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log).unwrap()
     }
 }
 
-/// Keepers and entries as processes, targets inside the test.
+/// Keepers and entries as real processes, and targets in the test process.
 pub struct Fleet {
     folder: tempfile::TempDir,
-    /// The keepers.
     pub keepers: Vec<Process>,
-    /// The entries.
     pub entries: Vec<Process>,
-    /// The targets, by name.
+    /// Targets by name.
     pub targets: BTreeMap<String, Target>,
     caller_ports: Vec<u16>,
     announce_ports: Vec<u16>,
@@ -173,7 +173,7 @@
     }
 }
 
-/// Ends the processes of a fleet, and shows their logs when the test has failed.
+/// Kills the processes of a fleet; prints their logs if the test has failed.
 pub fn end_processes<'a>(processes: impl Iterator<Item = &'a mut Process>) {
     for process in processes {
         if std::thread::panicking() {
@@ -184,7 +184,7 @@
 }
 
 impl Fleet {
-    /// Starts three keepers and `entries` entries, without rules and targets.
+    /// Starts three keepers and `entries` entries, without rules or targets.
     pub fn start(entries: usize) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let ports = |count: usize| -> Vec<u16> { (0..count).map(|_| free_port()).collect() };
@@ -199,44 +199,44 @@
             entries: Vec::new(),
             targets: BTreeMap::new(),
         };
-        auburnbridge(&["keys", "authority", "--folder"], &fleet.path("authority"));
-        let keepers = peers("keeper", &keeper_ports);
-        let seeds = peers("entry", &entry_ports);
-        for (at, port) in keeper_ports.iter().enumerate() {
-            let own = format!(
-                r#""peer_address":"{}","operator_address":"{}","data_folder":"data/keeper-{at}",
+        run_command(&["keys", "authority", "--folder"], &fleet.path("authority"));
+        let keepers = peer_settings("keeper", &keeper_ports);
+        let seeds = peer_settings("entry", &entry_ports);
+        for (index, port) in keeper_ports.iter().enumerate() {
+            let role_settings = format!(
+                r#""peer_address":"{}","operator_address":"{}","data_folder":"data/keeper-{index}",
                 "members":[{}],"operator_keys":[{{"name":"tests","sha256":"{OPERATOR_KEY_SHA256}","services":["*"]}}]"#,
                 local(*port),
-                local(fleet.operator_ports[at]),
+                local(fleet.operator_ports[index]),
                 keepers.join(","),
             );
-            let process = fleet.process("keeper", at, &own);
+            let process = fleet.start_process("keeper", index, &role_settings);
             fleet.keepers.push(process);
         }
-        for (at, port) in entry_ports.iter().enumerate() {
+        for (index, port) in entry_ports.iter().enumerate() {
             let others: Vec<String> = seeds
                 .iter()
                 .enumerate()
-                .filter(|(other, _)| *other != at)
+                .filter(|(other, _)| *other != index)
                 .map(|(_, seed)| seed.clone())
                 .collect();
-            let own = format!(
+            let role_settings = format!(
                 r#""peer_address":"{}","caller_address":"{}","announce_address":"{}",
                 "keepers":[{}],"entries":[{}],"balancer_lag":"300ms""#,
                 local(*port),
-                local(fleet.caller_ports[at]),
-                local(fleet.announce_ports[at]),
+                local(fleet.caller_ports[index]),
+                local(fleet.announce_ports[index]),
                 keepers.join(","),
                 others.join(","),
             );
-            let process = fleet.process("entry", at, &own);
+            let process = fleet.start_process("entry", index, &role_settings);
             fleet.entries.push(process);
         }
         fleet
     }
 
-    /// Starts a fleet with the rules of most tests and two targets a service, and waits until every
-    /// entry serves both services.
+    /// Starts a fleet with [`RULES`] and two targets per service, and waits until every entry serves
+    /// both services.
     pub fn ready(entries: usize) -> Self {
         let mut fleet = Self::start(entries);
         fleet.put_rules(RULES);
@@ -262,12 +262,13 @@
         self.folder.path().join(name)
     }
 
-    fn process(&self, role: &'static str, at: usize, own: &str) -> Process {
-        let name = format!("{role}-{at}");
+    /// Issues the keys of a process, writes its settings and starts it.
+    fn start_process(&self, role: &'static str, index: usize, role_settings: &str) -> Process {
+        let name = format!("{role}-{index}");
         let keys = self.path(&format!("keys/{name}"));
         let authority = self.path("authority");
         let authority = authority.to_str().unwrap();
-        auburnbridge(
+        run_command(
             &[
                 "keys",
                 "issue",
@@ -282,7 +283,9 @@
             &keys,
         );
         let settings = self.path(&format!("{name}.json"));
-        let text = format!(r#"{{"vm":"{name}","data_centre":"east","keys":"keys/{name}",{own}}}"#);
+        let text = format!(
+            r#"{{"vm":"{name}","data_centre":"east","keys":"keys/{name}",{role_settings}}}"#
+        );
         fs::write(&settings, text).unwrap();
         let mut process = Process {
             log: self.path(&format!("{name}.log")),
@@ -295,16 +298,14 @@
         process
     }
 
-    /// The data folder of a keeper.
+    /// Data folder of a keeper.
     pub fn data_folder(&self, keeper: usize) -> PathBuf {
         self.path(&format!("data/keeper-{keeper}"))
     }
 
-    /// Starts a target whose name begins with its service.
+    /// Starts a target; its name is its service, a hyphen and a number.
     pub fn add_target(&mut self, name: &str) {
-        let (service, _) = name
-            .split_once('-')
-            .expect("the name begins with the service");
+        let (service, _) = name.split_once('-').expect("the name is SERVICE-NUMBER");
         let announce_to = self
             .announce_ports
             .iter()
@@ -317,16 +318,16 @@
         self.targets.insert(name.to_owned(), target);
     }
 
-    /// Polls until `reached`; fails the test if that takes too long.
-    pub fn wait_until(&self, what: &str, mut reached: impl FnMut(&Self) -> bool) {
+    /// Polls until `is_reached` returns true; fails the test after [`WAIT_TIMEOUT`].
+    pub fn wait_until(&self, state: &str, mut is_reached: impl FnMut(&Self) -> bool) {
         let start = Instant::now();
-        while !reached(self) {
-            assert!(start.elapsed() < PATIENCE, "not reached: {what}");
-            std::thread::sleep(POLL);
+        while !is_reached(self) {
+            assert!(start.elapsed() < WAIT_TIMEOUT, "not reached: {state}");
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Puts a rules file through any keeper that answers.
+    /// Replaces the rules through the first keeper that accepts them.
     pub fn put_rules(&self, text: &str) {
         let file = self.path("rules");
         fs::write(&file, text).unwrap();
@@ -339,7 +340,8 @@
         });
     }
 
-    /// Runs `auburnbridge rules` against a keeper.
+    /// Runs `auburnbridge rules` against a keeper; returns standard output, or standard error on
+    /// failure.
     pub fn rules_command(&self, keeper: usize, arguments: &[&str]) -> Result<String, String> {
         let key_file = self.path("operator-key");
         fs::write(&key_file, OPERATOR_KEY).unwrap();
@@ -358,12 +360,12 @@
         }
     }
 
-    /// Sends a lookup through an entry.
+    /// Sends a GET request through an entry.
     pub fn get(&self, entry: usize, path: &str) -> Result<Response, SendError> {
         self.send(entry, &request("GET", path))
     }
 
-    /// Sends a keyed request through an entry.
+    /// Sends a POST request with an idempotency key through an entry.
     pub fn post(
         &self,
         entry: usize,
@@ -380,13 +382,13 @@
         self.send(entry, &req)
     }
 
-    /// Sends any request through an entry.
+    /// Sends a request through an entry.
     pub fn send(&self, entry: usize, req: &Request) -> Result<Response, SendError> {
         let address = local(self.caller_ports[entry]);
         task::block_on(send(address, req, Duration::from_secs(10)))
     }
 
-    /// Executions of a key over all targets.
+    /// Number of executions of a key on all targets together.
     pub fn executions(&self, key: &str) -> u32 {
         self.targets
             .values()
@@ -394,19 +396,19 @@
             .sum()
     }
 
-    /// Copies a keeper's folder aside; the keeper must not run.
-    pub fn copy_folder(&self, keeper: usize, name: &str) {
+    /// Copies a keeper's data folder to `name`; the keeper must not be running.
+    pub fn copy_data_folder(&self, keeper: usize, name: &str) {
         copy_files(&self.data_folder(keeper), &self.path(name));
     }
 
-    /// Puts a copy in place of a keeper's folder; the keeper must not run.
-    pub fn restore_folder(&self, keeper: usize, name: &str) {
-        self.lose_disk(keeper);
+    /// Replaces a keeper's data folder by the copy `name`; the keeper must not be running.
+    pub fn restore_data_folder(&self, keeper: usize, name: &str) {
+        self.remove_data_folder(keeper);
         copy_files(&self.path(name), &self.data_folder(keeper));
     }
 
-    /// Replaces a keeper's disk by an empty one; the keeper must not run.
-    pub fn lose_disk(&self, keeper: usize) {
+    /// Removes a keeper's data folder, as if its disk were lost; the keeper must not be running.
+    pub fn remove_data_folder(&self, keeper: usize) {
         fs::remove_dir_all(self.data_folder(keeper)).unwrap();
     }
 }
@@ -419,32 +421,34 @@
     }
 }
 
-/// A new idempotency key.
+/// Returns a new random idempotency key.
 pub fn key() -> String {
     new_key(&mut rand::rng()).to_string()
 }
 
-/// Starts a request.
+/// Returns a request without a body.
 pub fn request(method: &str, path: &str) -> Request {
     let mut req = Request::new(method, path);
     req.headers.append("Host", "auburnbridge");
     req
 }
 
-/// The outcome that a rejection states.
+/// Outcome stated in the header of a rejection.
 pub fn outcome(response: &Response) -> Option<&str> {
     response.headers.text("Auburnbridge-Outcome")
 }
 
-fn peers(role: &str, ports: &[u16]) -> Vec<String> {
+/// Peers as JSON values of the settings.
+fn peer_settings(role: &str, ports: &[u16]) -> Vec<String> {
     ports
         .iter()
         .enumerate()
-        .map(|(at, port)| format!(r#"{{"vm":"{role}-{at}","address":"{}"}}"#, local(*port)))
+        .map(|(index, port)| format!(r#"{{"vm":"{role}-{index}","address":"{}"}}"#, local(*port)))
         .collect()
 }
 
-fn auburnbridge(arguments: &[&str], folder: &Path) {
+/// Runs a command whose last argument is a folder.
+fn run_command(arguments: &[&str], folder: &Path) {
     let status = Command::new(env!("CARGO_BIN_EXE_auburnbridge"))
         .args(arguments)
         .arg(folder)
--- a/crates/auburnbridge/tests/processes/health.rs
+++ b/crates/auburnbridge/tests/processes/health.rs
@@ -1,4 +1,4 @@
-//! Guards ejection, reinstatement, the floor and readiness on real processes.
+//! Tests of ejection, reinstatement, the slots floor and readiness on real processes.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -6,9 +6,10 @@
 
 use crate::fleet::{Fleet, key, request};
 
-/// Guards against a sick target that keeps its work, and against one that never gets it back.
+/// Guards against a failing target that still gets requests, and against one that gets none after it
+/// has recovered.
 #[test]
-fn sick_target_is_ejected_and_reinstated() {
+fn failing_target_is_ejected_and_reinstated() {
     let fleet = Fleet::ready(2);
     fleet.targets["stock-0"].set_fault(Fault::CloseAfterRun);
     fleet.wait_until("the entry ejects the target", |fleet| {
@@ -35,9 +36,10 @@
     });
 }
 
-/// Guards H1: with every target sick, the floor keeps targets in use and their own answers come.
+/// Guards against ejections below the slots floor when every target fails, which would leave no target
+/// to serve once they recover.
 #[test]
-fn floor_keeps_targets_in_use_when_all_are_sick() {
+fn floor_keeps_targets_in_use_when_all_fail() {
     let fleet = Fleet::ready(1);
     for name in ["stock-0", "stock-1"] {
         fleet.targets[name].set_fault(Fault::CloseAfterRun);
@@ -71,40 +73,39 @@
         .is_ok_and(|response| response.status == 200)
 }
 
-/// Guards against an isolated entry that keeps getting requests, and against entries that all give
-/// up because the keepers are away.
+/// Guards against an isolated entry that reports itself ready, and against entries that all report
+/// themselves not ready because the keepers are down.
 #[test]
 fn only_an_isolated_entry_is_not_ready() {
     let mut fleet = Fleet::ready(2);
     for keeper in &mut fleet.keepers {
         keeper.kill();
     }
-    fleet.wait_until("the entry notices that the keepers are away", |fleet| {
+    fleet.wait_until("the entry notices that the keepers are down", |fleet| {
         fleet.post(0, "/slips", &key(), "ward", "0").unwrap().status == 503
     });
     assert!(is_ready(&fleet, 0) && is_ready(&fleet, 1));
     fleet.entries[1].freeze();
-    fleet.wait_until("the entry that reaches nobody is not ready", |fleet| {
+    fleet.wait_until("the isolated entry is not ready", |fleet| {
         !is_ready(fleet, 0)
     });
     assert_eq!(
         fleet.get(0, "/bins/1").unwrap().status,
         200,
-        "it still serves"
+        "an entry that is not ready still serves"
     );
     fleet.entries[1].thaw();
     fleet.wait_until("the entry is ready again", |fleet| is_ready(fleet, 0));
 }
 
-/// Guards against keyed requests that are refused while the leading keeper is stopped and started
-/// as planned.
+/// Guards against keyed requests that are refused during a planned restart of the leading keeper.
 #[test]
 fn rolling_restart_of_the_keepers_refuses_no_keyed_request() {
     let mut fleet = Fleet::ready(1);
     for keeper in 0..3 {
         fleet.keepers[keeper].terminate();
-        let ended_well = fleet.keepers[keeper].wait();
-        assert!(ended_well, "{}", fleet.keepers[keeper].log());
+        let exited_with_success = fleet.keepers[keeper].wait();
+        assert!(exited_with_success, "{}", fleet.keepers[keeper].log());
         for _ in 0..5 {
             let key = key();
             let slip = fleet.post(0, "/slips", &key, "ward", "0").unwrap();
@@ -112,7 +113,7 @@
             assert_eq!(fleet.executions(&key), 1);
         }
         fleet.keepers[keeper].restart();
-        fleet.wait_until("the keeper counts again", |fleet| {
+        fleet.wait_until("the keeper's restart is confirmed by its peers", |fleet| {
             fleet.keepers[keeper]
                 .log()
                 .matches("start confirmed by its peers")
@@ -122,14 +123,14 @@
     }
 }
 
-/// Guards against a commission that starves behind lookups: a keyed request must run while far more
-/// lookups wait than the targets have slots.
+/// Guards against starvation of a keyed request while far more lookups wait than the targets have
+/// slots.
 #[test]
 fn keyed_request_goes_before_waiting_lookups() {
     const LOOKUPS: usize = 60;
     const WORK_MS: &str = "200";
     let mut fleet = Fleet::start(1);
-    // One service for both, since the classes compete for the same slots.
+    // One service for both routes, so that their requests compete for the same slots.
     fleet.put_rules(
         "service stock slots-floor 3 slots-per-target 3 ejection careful # asked by the tests\n\
          route GET /bins/* to stock idempotent timeout 30s # asked by the tests\n\
@@ -164,6 +165,6 @@
     });
     assert!(
         answered_before_reservation < LOOKUPS / 2,
-        "{answered_before_reservation} of {LOOKUPS} lookups went first"
+        "{answered_before_reservation} of {LOOKUPS} lookups were answered before the reservation"
     );
 }
--- a/crates/auburnbridge/tests/processes/main.rs
+++ b/crates/auburnbridge/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! Tests of whole fleets of real processes.
+//! Tests that run whole fleets as real processes on loopback addresses.
 
 mod control;
 mod fleet;
--- a/crates/auburnbridge/tests/processes/platform.rs
+++ b/crates/auburnbridge/tests/processes/platform.rs
@@ -1,5 +1,5 @@
-//! Guards the path from an operator's configuration and a target's announcement to a caller's
-//! answer, with keepers and gateways that are killed, emptied and stopped.
+//! Tests from an operator's configuration and a target's announcement to a caller's answer, in which
+//! keepers and gateways are killed, lose their data or are stopped.
 
 use std::fs;
 use std::thread;
@@ -8,7 +8,7 @@
 use crate::platform_fleet::{PlatformFleet, SealingTarget, eventually};
 use crate::wire::{CONFIG, FOREIGN_ANNOUNCEMENT, LEAVING, READY, document, target_path};
 
-fn served(fleet: &PlatformFleet, gateway: u8, path: &str) -> bool {
+fn is_served(fleet: &PlatformFleet, gateway: u8, path: &str) -> bool {
     fleet.send(gateway, "POST", path) == Some(200)
 }
 
@@ -21,15 +21,15 @@
     fleet.call_any("PUT", &target_path("i-1"), &body, 200);
     for gateway in 0..2 {
         eventually("the gateway serves nothing", || {
-            served(&fleet, gateway, "/a/x")
+            is_served(&fleet, gateway, "/a/x")
         });
         assert!(fleet.is_ready(gateway));
     }
     (fleet, target)
 }
 
-/// Guards against a path that works only in one process, a configuration that is read back in other
-/// bytes, and invalid input that is acknowledged.
+/// Guards against a configuration or announcement that doesn't get from the keepers to the gateways, a
+/// configuration that is read back with other bytes, and invalid input that is acknowledged.
 #[test]
 fn configuration_and_announcement_reach_callers() {
     let (fleet, _target) = serving_fleet(10, 3);
@@ -38,15 +38,15 @@
         document(1, "/a/").into_bytes()
     );
     assert_eq!(fleet.send(0, "POST", "/b/x"), Some(404));
-    let cut = &document(2, "/b/")[..200];
-    assert_eq!(fleet.call(0, "PUT", CONFIG, cut).unwrap().status, 400);
+    let truncated = &document(2, "/b/")[..200];
+    assert_eq!(fleet.call(0, "PUT", CONFIG, truncated).unwrap().status, 400);
     let path = target_path("i-9");
     let refused = fleet.call(1, "PUT", &path, FOREIGN_ANNOUNCEMENT).unwrap();
     assert_eq!(refused.status, 400);
     fleet.publish(&document(2, "/b/"));
     // An older version is acknowledged and changes nothing.
     fleet.publish(&document(1, "/a/"));
-    eventually("version 2 is not in force", || served(&fleet, 1, "/b/x"));
+    eventually("version 2 is not in force", || is_served(&fleet, 1, "/b/x"));
     assert_eq!(
         fleet.call_any("GET", CONFIG, "", 200),
         document(2, "/b/").into_bytes()
@@ -62,7 +62,7 @@
     );
 }
 
-/// Guards against a target that gets work after its departure was acknowledged.
+/// Guards against requests to a target after its departure was acknowledged.
 #[test]
 fn departed_target_gets_no_work() {
     let (fleet, first) = serving_fleet(50, 3);
@@ -70,14 +70,14 @@
     let body = second.announcement(READY, 1);
     fleet.call_any("PUT", &target_path("i-2"), &body, 200);
     eventually("the second target gets no work", || {
-        served(&fleet, 0, "/a/x") && *second.runs.lock() > 0
+        is_served(&fleet, 0, "/a/x") && *second.runs.lock() > 0
     });
     let body = first.announcement(LEAVING, 2);
     fleet.call_any("PUT", &target_path("i-1"), &body, 200);
     thread::sleep(Duration::from_secs(1));
     let runs = *first.runs.lock();
     for _ in 0..20 {
-        assert!(served(&fleet, 0, "/a/x") && served(&fleet, 1, "/a/x"));
+        assert!(is_served(&fleet, 0, "/a/x") && is_served(&fleet, 1, "/a/x"));
     }
     assert_eq!(*first.runs.lock(), runs);
     fleet.call_any("DELETE", &target_path("i-2"), "", 200);
@@ -86,21 +86,21 @@
     });
 }
 
-/// Guards against an acknowledged configuration that is lost with all keepers, and against gateways
-/// that stop serving without them.
+/// Guards against the loss of an acknowledged configuration when all keepers are killed, and against
+/// gateways that stop serving while no keeper runs.
 #[test]
-fn all_keepers_killed_and_back() {
+fn configuration_survives_a_restart_of_all_keepers() {
     let (mut fleet, _target) = serving_fleet(90, 3);
     fleet.publish(&document(5, "/c/"));
     for gateway in 0..2 {
         eventually("version 5 is not in force", || {
-            served(&fleet, gateway, "/c/x")
+            is_served(&fleet, gateway, "/c/x")
         });
     }
     for control in &mut fleet.controls {
         control.kill();
     }
-    assert!(served(&fleet, 0, "/c/x") && served(&fleet, 1, "/c/x"));
+    assert!(is_served(&fleet, 0, "/c/x") && is_served(&fleet, 1, "/c/x"));
     for control in &mut fleet.controls {
         control.start();
     }
@@ -109,26 +109,29 @@
         document(5, "/c/").into_bytes()
     );
     fleet.publish(&document(6, "/d/"));
-    eventually("version 6 is not in force", || served(&fleet, 1, "/d/x"));
+    eventually("version 6 is not in force", || is_served(&fleet, 1, "/d/x"));
 }
 
-/// Guards against a keeper that lost its disk and founds a group of its own, and against the loss of
-/// a second one right after the repair.
+/// Guards against a keeper that founds a second group after the loss of its disk, and against a repair
+/// that leaves the group unable to lose a second keeper.
 #[test]
-fn emptied_keeper_joins_again_and_counts() {
+fn keeper_without_data_rejoins_as_a_voter() {
     let (mut fleet, _target) = serving_fleet(130, 3);
     fleet.publish(&document(5, "/c/"));
     fleet.controls[0].kill();
     fs::remove_dir_all(fleet.data_folder(0)).unwrap();
     fleet.write_control_settings(0, false);
     fleet.controls[0].start();
-    eventually("the emptied keeper doesn't read", || {
-        fleet
-            .call(0, "GET", CONFIG, "")
-            .is_some_and(|response| response.status == 200)
-    });
-    eventually("the emptied keeper is no voter", || {
-        // The first line is of the start before.
+    eventually(
+        "the keeper without data doesn't return the configuration",
+        || {
+            fleet
+                .call(0, "GET", CONFIG, "")
+                .is_some_and(|response| response.status == 200)
+        },
+    );
+    eventually("the keeper without data is no voter", || {
+        // The log still holds the line of the first start.
         fleet.log("control-0").matches("is a voter").count() == 2
     });
     fleet.controls[1].kill();
@@ -139,7 +142,7 @@
     );
 }
 
-/// Guards against keepers beyond the three seeds that stay outside the group.
+/// Guards against keepers that are not among the three seeds and never join the group.
 #[test]
 fn keepers_beyond_the_seeds_join() {
     let (fleet, _target) = serving_fleet(170, 5);
@@ -154,7 +157,8 @@
     }
 }
 
-/// Guards against a stop that cuts a request off, and against one that takes new work for long.
+/// Guards against a planned stop that cuts off a request, and against a stopping gateway that stays
+/// ready.
 #[test]
 fn stopped_gateway_finishes_its_requests() {
     let (mut fleet, target) = serving_fleet(210, 3);
--- a/crates/auburnbridge/tests/processes/platform_fleet.rs
+++ b/crates/auburnbridge/tests/processes/platform_fleet.rs
@@ -1,5 +1,5 @@
-//! Gateways and control keepers as real processes, each on an address of its own in 127.0.0.0/8, and
-//! targets inside the test.
+//! Gateways and control keepers as real processes, each with its own address in 127.0.0.0/8, and
+//! targets in the test process.
 
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -13,24 +13,24 @@
 use auburnbridge_http::{Connection, Limits, Request, RequestInfo, Response};
 use parking_lot::Mutex;
 
-use crate::fleet::{PATIENCE, POLL, Process, end_processes, free_port};
+use crate::fleet::{POLL_INTERVAL, Process, WAIT_TIMEOUT, end_processes, free_port};
 use crate::wire;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Addresses of the fleet's VMs; the last part numbers them.
-fn vm(number: u8) -> IpAddr {
+/// Address of the VM with this number, which is the last octet.
+fn vm_address(number: u8) -> IpAddr {
     Ipv4Addr::new(127, 0, 77, number).into()
 }
 
-/// Where a fleet is called.
+/// Addresses at which the processes of a fleet take requests.
 #[derive(Clone, Debug)]
 pub struct FleetAddresses {
     pub controls: Vec<SocketAddr>,
     pub gateways: Vec<SocketAddr>,
 }
 
-/// A fleet with its files.
+/// Control keepers and gateways as processes, with their settings, data and logs.
 pub struct PlatformFleet {
     pub controls: Vec<Process>,
     pub gateways: Vec<Process>,
@@ -49,7 +49,8 @@
 }
 
 impl PlatformFleet {
-    /// Starts processes that have never run; tests that run at the same time take other VMs.
+    /// Starts a fleet without data on VMs from `first_vm` on; tests that run concurrently must use
+    /// different VMs.
     pub fn start(first_vm: u8, controls: u8, gateways: u8) -> Self {
         let mut fleet = Self {
             controls: Vec::new(),
@@ -85,11 +86,11 @@
     }
 
     fn control_vm(&self, number: u8) -> IpAddr {
-        vm(self.first_vm + number)
+        vm_address(self.first_vm + number)
     }
 
     fn gateway_vm(&self, number: u8) -> IpAddr {
-        vm(self.first_vm + 20 + number)
+        vm_address(self.first_vm + 20 + number)
     }
 
     fn seeds(&self) -> String {
@@ -138,12 +139,12 @@
         fs::write(path, text).unwrap();
     }
 
-    /// What a process has logged.
+    /// Output of a process.
     pub fn log(&self, name: &str) -> String {
         fs::read_to_string(self.folder.path().join(format!("{name}.log"))).unwrap()
     }
 
-    /// Where the processes are called.
+    /// Addresses at which the processes take requests.
     pub fn addresses(&self) -> FleetAddresses {
         let controls = 0..u8::try_from(self.controls.len()).unwrap();
         let gateways = 0..u8::try_from(self.gateways.len()).unwrap();
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Keeps settings, data and logs when the fleet ends; gives their folder.
+    /// Keeps settings, data and logs after the test; returns their folder.
     pub fn keep_files(&mut self) -> &std::path::Path {
         self.folder.disable_cleanup(true);
         self.folder.path()
@@ -167,14 +168,14 @@
         (self.gateway_vm(number), self.caller_port).into()
     }
 
-    /// Publishes a configuration with any keeper until one acknowledges it.
+    /// Sends a configuration to the keepers in turn until one acknowledges it.
     pub fn publish(&self, document: &str) {
         self.call_any("PUT", wire::CONFIG, document, 200);
     }
 
-    /// Calls the keepers in turn until one answers with `status`; gives its body.
+    /// Calls the keepers in turn until one answers with `status`; returns the body of that answer.
     pub fn call_any(&self, method: &str, path: &str, body: &str, status: u16) -> Vec<u8> {
-        let begun = Instant::now();
+        let start = Instant::now();
         let count = u8::try_from(self.controls.len()).unwrap();
         for number in (0..count).cycle() {
             let response = call(self.control(number), method, path, body);
@@ -182,17 +183,17 @@
             if let Some(response) = response.filter(|response| response.status == status) {
                 return response.body.to_vec();
             }
-            let waited = begun.elapsed();
+            let waited = start.elapsed();
             assert!(
-                waited < PATIENCE,
+                waited < WAIT_TIMEOUT,
                 "{method} {path}: no {status}, last {last:?}"
             );
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        unreachable!("the cycle has no end")
+        unreachable!("the iterator is endless")
     }
 
-    /// One call of one keeper.
+    /// Calls one keeper; `None` if it doesn't answer.
     pub fn call(&self, number: u8, method: &str, path: &str, body: &str) -> Option<Response> {
         call(self.control(number), method, path, body)
     }
@@ -203,20 +204,20 @@
         call(address, "GET", wire::READINESS, "").is_some_and(|response| response.status == 200)
     }
 
-    /// The metrics of a gateway.
+    /// Metrics page of a gateway.
     pub fn metrics(&self, number: u8) -> String {
         let address = (self.gateway_vm(number), self.keeper_port).into();
         let response = call(address, "GET", "/metrics", "").unwrap();
         String::from_utf8(response.body.to_vec()).unwrap()
     }
 
-    /// Sends a caller's request through a gateway.
+    /// Sends a caller's request to a gateway and returns the status.
     pub fn send(&self, number: u8, method: &str, path: &str) -> Option<u16> {
         send_to(self.caller(number), method, path)
     }
 }
 
-/// Sends a caller's request to a gateway.
+/// Sends a caller's request to a gateway and returns the status; `None` if it doesn't answer.
 pub fn send_to(gateway: SocketAddr, method: &str, path: &str) -> Option<u16> {
     let mut req = Request::new(method, path);
     req.headers.append("Host", "shop.example");
@@ -225,6 +226,7 @@
     exchange(gateway, &req).map(|response| response.status)
 }
 
+/// Calls a process; `None` if it doesn't answer within [`CALL_TIMEOUT`].
 pub fn call(address: SocketAddr, method: &str, path: &str, body: &str) -> Option<Response> {
     let mut req = Request::new(method, path);
     req.headers.append("Host", "control");
@@ -246,16 +248,16 @@
     task::block_on(timeout(CALL_TIMEOUT, answer)).ok().flatten()
 }
 
-/// Waits for a state.
-pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
+/// Polls until `holds` returns true; fails the test with `failure` after [`WAIT_TIMEOUT`].
+pub fn eventually(failure: &str, mut holds: impl FnMut() -> bool) {
+    let start = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < PATIENCE, "{what}");
-        std::thread::sleep(POLL);
+        assert!(start.elapsed() < WAIT_TIMEOUT, "{failure}");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Listens on a free port of loopback and handles each connection in a task of its own.
+/// Listens on a free loopback port and handles each connection in its own task.
 pub fn accept_each<F>(handle: impl Fn(TcpStream) -> F + Send + 'static) -> SocketAddr
 where
     F: Future<Output = ()> + Send + 'static,
@@ -270,7 +272,7 @@
     address
 }
 
-/// A target that seals its answers and counts them.
+/// A target that seals its answers and counts the requests that it runs.
 pub struct SealingTarget {
     pub address: SocketAddr,
     pub runs: Arc<Mutex<u32>>,
@@ -284,7 +286,7 @@
         Self { address, runs }
     }
 
-    /// The body with which the target announces itself.
+    /// Body of the target's announcement.
     pub fn announcement(&self, state: &str, sequence: u32) -> String {
         wire::announcement(self.address, state, sequence)
     }
--- a/crates/auburnbridge/tests/processes/request_path.rs
+++ b/crates/auburnbridge/tests/processes/request_path.rs
@@ -1,12 +1,13 @@
-//! Guards the promises of the request path on real processes: whole answers, at most once, honest
-//! rejections and graceful stops.
+//! Tests of the request path on real processes: complete answers, at most one execution of keyed
+//! requests, correct outcomes in rejections, and graceful stops.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use crate::fleet::{Fleet, key, outcome, request};
 use auburnbridge_standin::Fault;
 
-/// Guards H4: a resend through another entry must get the stored answer.
+/// Guards against a second run of a keyed request that is sent again through another entry; it must
+/// get the stored answer.
 #[test]
 fn resend_through_another_entry_gets_the_stored_answer() {
     let fleet = Fleet::ready(2);
@@ -23,7 +24,8 @@
     assert_eq!(fleet.executions(&key), 1);
 }
 
-/// Guards H4 when the entry that holds the grant dies while the target works.
+/// Guards against a second run when the entry that holds the grant is killed while the target runs the
+/// request.
 #[test]
 fn killed_entry_leaves_an_unknown_outcome_and_no_second_run() {
     let fleet = Fleet::ready(2);
@@ -37,7 +39,7 @@
             fleet.executions(&key) == 1
         });
         fleet.entries[0].crash();
-        assert!(first.join().unwrap().is_err(), "the entry is dead");
+        assert!(first.join().unwrap().is_err(), "the entry was killed");
     });
     for name in ["dispatch-0", "dispatch-1"] {
         fleet.targets[name].set_fault(Fault::None);
@@ -50,7 +52,8 @@
     assert_eq!(fleet.executions(&key), 1);
 }
 
-/// Guards H4 and H3 when the entry freezes while it holds the grant and goes on after its deadline.
+/// Guards against a late dispatch and a false outcome when the entry is suspended while it holds the
+/// grant and resumes after the grant's deadline.
 #[test]
 fn frozen_entry_dispatches_nothing_late() {
     let fleet = Fleet::ready(2);
@@ -70,7 +73,7 @@
             assert_eq!(outcome(&resend), Some("unknown"));
             String::from_utf8_lossy(&resend.body).contains("key-outcome-unknown")
         });
-        // Until now a request that was on its way when the entry froze was shed.
+        // The targets shed until here, so a request that the entry sent before it froze did not run.
         for name in ["dispatch-0", "dispatch-1"] {
             fleet.targets[name].set_fault(Fault::None);
         }
@@ -81,9 +84,10 @@
     assert_eq!(fleet.executions(&key), 0);
 }
 
-/// Guards H3 and H4 without a quorum: rejected at once, and `not-run` only where it is certain.
+/// Guards against keyed requests that run without a quorum of keepers, and against `not-run` for a
+/// resend, whose earlier attempt may have run. Lookups must still be served.
 #[test]
-fn without_a_quorum_keyed_requests_are_rejected_and_lookups_go_on() {
+fn without_a_quorum_keyed_requests_are_rejected_and_lookups_are_served() {
     let mut fleet = Fleet::ready(1);
     fleet.keepers[1].kill();
     fleet.keepers[2].kill();
@@ -103,9 +107,9 @@
     });
 }
 
-/// Guards H2: a half answer must never reach a caller as a success.
+/// Guards against a truncated answer that reaches a caller as a success.
 #[test]
-fn half_answers_become_rejections_or_retries() {
+fn truncated_answers_become_rejections_or_retries() {
     let fleet = Fleet::ready(1);
     for name in ["dispatch-0", "dispatch-1"] {
         fleet.targets[name].set_fault(Fault::HalfAnswer);
@@ -124,10 +128,10 @@
     }
 }
 
-/// Guards H4 against a shed: it did not run, so another target may run it, and the withdrawn key is
-/// free for a resend.
+/// Guards against a keyed request that is lost when a target sheds it: the request did not run, so
+/// another target may run it, or a resend after its key was withdrawn.
 #[test]
-fn shed_requests_move_on_and_withdrawn_keys_are_free() {
+fn shed_requests_are_retried_and_withdrawn_keys_are_reusable() {
     let fleet = Fleet::ready(2);
     fleet.targets["dispatch-0"].set_fault(Fault::Shed);
     let moved = key();
@@ -151,7 +155,8 @@
     assert_eq!(fleet.executions(&refused), 1);
 }
 
-/// Guards against a request that crashes every target of a service, across entries and resends.
+/// Guards against a request that crashes all targets of a service because each entry and resend tries
+/// further targets.
 #[test]
 fn crashing_request_is_refused_after_two_targets() {
     let mut fleet = Fleet::ready(2);
@@ -177,11 +182,15 @@
     assert_eq!(outcome(&first), Some("unknown"));
     let resend = fleet.get(1, "/bins/poison").unwrap();
     assert_eq!((resend.status, outcome(&resend)), (422, Some("unknown")));
-    assert_eq!(fleet.executions("/bins/poison"), 2, "targets that ran it");
+    assert_eq!(
+        fleet.executions("/bins/poison"),
+        2,
+        "targets that ran the request"
+    );
     assert_eq!(fleet.get(1, "/bins/1").unwrap().status, 200);
 }
 
-/// Guards H3: a retry that sends no byte must not make an earlier attempt that ran `not-run`.
+/// Guards against `not-run` for a request that ran, when a retry after that attempt sends no bytes.
 #[test]
 fn lookup_that_ran_is_never_reported_as_not_run() {
     let mut fleet = Fleet::ready(1);
@@ -198,7 +207,7 @@
     }
 }
 
-/// Guards H3: a resend that can't be read must not be told that the request did not run.
+/// Guards against `not-run` for an unreadable resend of a request that ran.
 #[test]
 fn unreadable_resend_of_a_request_that_ran_is_unknown() {
     let fleet = Fleet::ready(1);
@@ -212,17 +221,17 @@
     assert_eq!((resend.status, outcome(&resend)), (431, Some("unknown")));
 }
 
-/// Guards H6: a planned stop under load must not cut off a request.
+/// Guards against requests that are cut off by a planned stop under load.
 #[test]
 fn rolling_restart_loses_no_request() {
-    const ENOUGH: u32 = 20;
+    const MIN_ANSWERED: u32 = 20;
     let mut fleet = Fleet::ready(2);
     for entry in 0..2 {
         let lookups = AtomicU32::new(0);
         let slips = AtomicU32::new(0);
         std::thread::scope(|scope| {
             let (fleet, lookups, slips) = (&fleet, &lookups, &slips);
-            // Like the balancer, callers send here until the readiness answer turns.
+            // As behind a load balancer, callers send to the entry until it is no longer ready.
             let is_ready = move || {
                 fleet
                     .send(entry, &request("GET", "/auburnbridge/ready"))
@@ -245,12 +254,13 @@
                 }
             });
             fleet.wait_until("the entry is under load", |_| {
-                lookups.load(Ordering::SeqCst) > ENOUGH && slips.load(Ordering::SeqCst) > ENOUGH
+                lookups.load(Ordering::SeqCst) > MIN_ANSWERED
+                    && slips.load(Ordering::SeqCst) > MIN_ANSWERED
             });
             fleet.entries[entry].terminate();
         });
-        let ended_well = fleet.entries[entry].wait();
-        assert!(ended_well, "{}", fleet.entries[entry].log());
+        let exited_with_success = fleet.entries[entry].wait();
+        assert!(exited_with_success, "{}", fleet.entries[entry].log());
         fleet.entries[entry].restart();
         fleet.wait_until("the entry is ready again", |fleet| {
             fleet
