--- a/crates/auburnbridge/tests/processes/soak/callers.rs
+++ b/crates/auburnbridge/tests/processes/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections open until a gateway ends them.
+//! Callers that keep their connections open until a gateway closes them.
 
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
@@ -11,17 +11,17 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::record::{Heard, Sent};
-use super::targets::body_of;
+use super::record::{Outcome, SentRequest};
+use super::targets::expected_body;
 use super::{GATEWAYS, Soak};
 use crate::platform_fleet::FleetAddresses;
 use crate::wire;
 
-/// Time that a caller states to wait.
+/// Wait time that a caller states in its requests.
 const DEADLINE: Duration = Duration::from_millis(1_500);
-/// Time after which it gives up in fact; a frozen gateway answers late.
-const GIVE_UP: Duration = Duration::from_secs(4);
-const CONNECT: Duration = Duration::from_millis(500);
+/// Time after which a caller gives up; longer than [`DEADLINE`], since a frozen gateway answers late.
+const GIVE_UP_AFTER: Duration = Duration::from_secs(4);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// An open connection to a gateway.
 struct OpenConnection {
@@ -29,7 +29,7 @@
     connection: Connection<TcpStream>,
 }
 
-/// Starts the thread of one caller.
+/// Starts the thread of a caller.
 pub fn start(
     soak: &Arc<Soak>,
     addresses: &FleetAddresses,
@@ -39,17 +39,17 @@
     let (soak, addresses) = (Arc::clone(soak), addresses.clone());
     let rng = ChaCha8Rng::seed_from_u64(seed * 101 + caller as u64);
     let name = format!("s{seed}-{caller}");
-    thread::spawn(move || task::block_on(call_in_turn(&soak, &addresses, &name, rng)))
+    thread::spawn(move || task::block_on(send_requests(&soak, &addresses, &name, rng)))
 }
 
-async fn call_in_turn(soak: &Soak, addresses: &FleetAddresses, name: &str, mut rng: ChaCha8Rng) {
-    let mut kept: Option<OpenConnection> = None;
+async fn send_requests(soak: &Soak, addresses: &FleetAddresses, name: &str, mut rng: ChaCha8Rng) {
+    let mut idle: Option<OpenConnection> = None;
     for number in 0.. {
         if soak.is_over() {
             return;
         }
         task::sleep(Duration::from_millis(rng.random_range(5..40))).await;
-        let open = match kept.take() {
+        let open = match idle.take() {
             Some(open) => Some(open),
             None => connect(addresses, rng.random_range(0..GATEWAYS)).await,
         };
@@ -58,32 +58,32 @@
         };
         let is_once = rng.random::<bool>();
         let req = request(&format!("{name}-{number}"), is_once);
-        let began = Instant::now();
-        let heard = exchange(&mut open.connection, &req).await;
-        let (heard, stays_open) = match heard {
+        let start = Instant::now();
+        let result = exchange(&mut open.connection, &req).await;
+        let (outcome, stays_open) = match result {
             Ok(Some((response, stays_open))) => {
                 check_answer(soak, &req, &response);
-                (Heard::Status(response.status), stays_open)
+                (Outcome::Status(response.status), stays_open)
             }
-            Ok(None) => (Heard::Cut, false),
-            Err(_) => (Heard::Nothing, false),
+            Ok(None) => (Outcome::Closed, false),
+            Err(_) => (Outcome::GaveUp, false),
         };
-        soak.record.note_sent(Sent {
+        soak.record.record_request(SentRequest {
             attempt: attempt_of(&req).to_owned(),
             path: req.path.clone(),
             is_once,
             gateway: open.gateway,
-            began,
-            ended: Instant::now(),
-            heard,
+            start,
+            end: Instant::now(),
+            outcome,
         });
-        kept = stays_open.then_some(open);
+        idle = stays_open.then_some(open);
     }
 }
 
 async fn connect(addresses: &FleetAddresses, gateway: u8) -> Option<OpenConnection> {
     let address = addresses.gateways[usize::from(gateway)];
-    let stream = timeout(CONNECT, TcpStream::connect(address))
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .ok()?
         .ok()?;
@@ -111,12 +111,17 @@
     req.headers.text(wire::ATTEMPT).unwrap_or_default()
 }
 
-/// `None` means that the connection ended without an answer, an error that the caller gave up.
+/// Returns the answer and whether the connection stays open; `None` if the connection was closed
+/// without an answer.
+///
+/// # Errors
+///
+/// Fails when the caller gives up, after [`GIVE_UP_AFTER`].
 async fn exchange(
     connection: &mut Connection<TcpStream>,
     req: &Request,
 ) -> Result<Option<(Response, bool)>, async_std::future::TimeoutError> {
-    timeout(GIVE_UP, async {
+    timeout(GIVE_UP_AFTER, async {
         connection.write_request(req).await.ok()?;
         let limits = Limits::default();
         let response = connection
@@ -135,9 +140,9 @@
     }
     let attempt = attempt_of(req);
     let is_own = response.headers.text(wire::ATTEMPT) == Some(attempt);
-    if !is_own || *response.body != *body_of(attempt, &req.path).as_bytes() {
-        soak.record.violate(format!(
-            "{attempt} got an answer that isn't its own or not whole"
+    if !is_own || *response.body != *expected_body(attempt, &req.path).as_bytes() {
+        soak.record.record_violation(format!(
+            "{attempt} got an incomplete answer or that of another request"
         ));
     }
 }
--- a/crates/auburnbridge/tests/processes/soak/mod.rs
+++ b/crates/auburnbridge/tests/processes/soak/mod.rs
@@ -1,16 +1,17 @@
-//! A randomized soak: a fleet of real processes under overlapping faults, injected from outside.
+//! Randomized soak test: a fleet of real processes under overlapping faults, injected from outside.
 //!
-//! Processes are killed, frozen, stopped, emptied and told to reload by signals and files; the
-//! connections to targets pass through loopback proxies that delay, reset, silence or cut them one
-//! way. Meanwhile callers send lookups and orders, an operator publishes versions and targets
-//! announce themselves and leave. [`record::Record`] holds what callers heard and what targets ran,
-//! and names every promise that was broken.
+//! Signals kill, freeze, stop and reload processes, and data folders are removed. The connections to
+//! targets pass through loopback proxies that delay, reset or silence them, in one direction or both.
+//! Meanwhile callers send lookups and orders, an operator publishes versions, and targets announce
+//! themselves and leave. [`record::Record`] holds what callers received and what targets ran, and
+//! lists all violated guarantees.
 //!
 //! `SOAK_SEEDS=20 SOAK_FIRST_SEED=1000 cargo test -p auburnbridge --test processes -- --ignored
-//! fresh_seeds` runs further seeds. A failed seed is kept in [`KEPT_SEEDS`] with its cause.
-//! Connections between keepers and gateways can't be cut here, since processes know each other by
-//! the addresses of their VMs; frozen processes take that part. Storage fails by the loss of whole
-//! folders only, and no process uses the time of day.
+//! fresh_seeds` runs other seeds. A seed that fails is added to [`CI_SEEDS`] with its cause.
+//!
+//! Not covered: cut connections between keepers and gateways, since processes identify each other by
+//! the addresses of their VMs (frozen processes stand in for that); storage faults other than the loss
+//! of a whole data folder; and changes of the wall clock, which no process uses.
 
 mod callers;
 mod operator;
@@ -37,19 +38,19 @@
 pub const GATEWAYS: u8 = 2;
 pub const TARGETS: usize = 4;
 const CALLERS: usize = 6;
-/// First of the numbers of the soak's VMs; no other test uses them.
+/// First VM number of the soak's fleet, whose VMs no other test uses.
 const FIRST_VM: u8 = 200;
-/// Time within which everything must be served again, as the operators ask.
+/// Time within which everything must be served again after the faults; the operators require it.
 const RECOVERY: Duration = Duration::from_secs(15);
 
-/// Seeds that CI runs. Each seed that fails is added with its cause; none has failed yet.
-const KEPT_SEEDS: [u64; 1] = [1];
+/// Seeds that CI runs. A seed that fails is added with its cause; none has failed yet.
+const CI_SEEDS: [u64; 1] = [1];
 
-/// What the threads of one run share.
+/// State that the threads of one run share.
 pub struct Soak {
     pub record: Record,
     pub targets: Vec<SoakTarget>,
-    /// Set once all threads are to end.
+    /// Set when all threads must end.
     pub is_over: AtomicBool,
 }
 
@@ -59,10 +60,10 @@
     }
 }
 
-/// Runs one seed; gives what was broken.
+/// Runs one seed and returns the violated guarantees.
 fn run(seed: u64) -> Vec<String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let steps = schedule::draw(&mut rng);
+    let steps = schedule::generate(&mut rng);
     let mut fleet = PlatformFleet::start(FIRST_VM, CONTROLS, GATEWAYS);
     let soak = Arc::new(Soak {
         record: Record::default(),
@@ -77,9 +78,9 @@
     });
     threads.extend((0..CALLERS).map(|caller| callers::start(&soak, &addresses, seed, caller)));
     threads.extend((0..GATEWAYS).map(|gateway| versions::start(&soak, &addresses, gateway)));
-    play(&steps, &mut fleet, &soak);
-    heal(&mut fleet, &soak);
-    let healed = Instant::now();
+    apply_steps(&steps, &mut fleet, &soak);
+    end_faults(&mut fleet, &soak);
+    let faults_ended = Instant::now();
     let is_served = || {
         let version = soak.record.newest_acknowledged();
         (0..GATEWAYS).all(|gateway| {
@@ -88,16 +89,17 @@
         })
     };
     while !is_served() {
-        if healed.elapsed() > RECOVERY {
-            soak.record
-                .violate("not all gateways serve the newest version after the recovery time");
+        if faults_ended.elapsed() > RECOVERY {
+            soak.record.record_violation(
+                "not all gateways serve the newest version after the recovery time",
+            );
             break;
         }
         thread::sleep(Duration::from_millis(100));
     }
     soak.is_over.store(true, Ordering::SeqCst);
     for thread in threads {
-        thread.join().expect("no thread of the soak panics");
+        thread.join().expect("a soak thread panicked");
     }
     let version = fleet.call_any("GET", crate::wire::CONFIG, "", 200);
     soak.record.check_final_configuration(&version);
@@ -118,27 +120,27 @@
     violations
 }
 
-fn play(steps: &[Step], fleet: &mut PlatformFleet, soak: &Arc<Soak>) {
-    let begun = Instant::now();
+fn apply_steps(steps: &[Step], fleet: &mut PlatformFleet, soak: &Arc<Soak>) {
+    let start = Instant::now();
     for step in steps {
-        thread::sleep(step.at.saturating_sub(begun.elapsed()));
-        soak.record.note_fault(step);
-        apply(step, fleet, soak);
+        thread::sleep(step.at.saturating_sub(start.elapsed()));
+        soak.record.record_fault(step);
+        apply_step(step, fleet, soak);
     }
 }
 
-fn apply(step: &Step, fleet: &mut PlatformFleet, soak: &Arc<Soak>) {
+fn apply_step(step: &Step, fleet: &mut PlatformFleet, soak: &Arc<Soak>) {
     let number = usize::from(step.number);
     if step.role == Role::Target {
         let target = &soak.targets[number];
         match step.action {
             Action::Link(mode) => target.proxy.set(mode),
             Action::Leave => target.leave(),
-            _ => unreachable!("targets have links and leave"),
+            _ => unreachable!("targets have only link faults and departures"),
         }
         return;
     }
-    if step.action == Action::Empty {
+    if step.action == Action::RemoveData {
         fleet.controls[number].kill();
         std::fs::remove_dir_all(fleet.data_folder(step.number)).unwrap();
         fleet.write_control_settings(step.number, false);
@@ -158,22 +160,23 @@
             process.terminate();
             if !process.wait() {
                 soak.record
-                    .violate("a process that was asked to stop ended with an error");
+                    .record_violation("a process that was asked to stop ended with an error");
             }
         }
-        Action::Link(_) | Action::Leave | Action::Empty => unreachable!("handled above"),
+        Action::Link(_) | Action::Leave | Action::RemoveData => unreachable!("handled above"),
     }
 }
 
-/// The schedule ends each fault that it begins, so only the links are left.
-fn heal(fleet: &mut PlatformFleet, soak: &Arc<Soak>) {
+/// Opens all links and checks that all processes run, since the schedule ends each fault that it
+/// begins.
+fn end_faults(fleet: &mut PlatformFleet, soak: &Arc<Soak>) {
     for target in &soak.targets {
         target.proxy.set(proxy::Link::Open);
     }
     for process in fleet.controls.iter_mut().chain(&mut fleet.gateways) {
         assert!(
             process.is_running(),
-            "the schedule left a process stopped or it ended by itself"
+            "a process was left stopped by the schedule or ended by itself"
         );
     }
 }
@@ -189,19 +192,20 @@
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
-/// Guards the promises to callers, operators and targets against overlapping faults.
+/// Guards against violations of the guarantees to callers, operators and targets under overlapping
+/// faults.
 #[test]
-fn kept_seeds() {
-    run_seeds(KEPT_SEEDS.into_iter());
+fn ci_seeds() {
+    run_seeds(CI_SEEDS.into_iter());
 }
 
-/// Runs as many fresh seeds as `SOAK_SEEDS` says, from `SOAK_FIRST_SEED` on.
+/// Runs `SOAK_SEEDS` seeds (default 5) from `SOAK_FIRST_SEED` on (default 1000).
 #[test]
-#[ignore = "takes a quarter of a minute a seed; run it by hand"]
+#[ignore = "takes a quarter of a minute per seed; run it by hand"]
 fn fresh_seeds() {
-    let number = |name: &str, default: u64| {
+    let variable = |name: &str, default: u64| {
         std::env::var(name).map_or(default, |text| text.parse().expect("a number"))
     };
-    let first = number("SOAK_FIRST_SEED", 1_000);
-    run_seeds(first..first + number("SOAK_SEEDS", 5));
+    let first = variable("SOAK_FIRST_SEED", 1_000);
+    run_seeds(first..first + variable("SOAK_SEEDS", 5));
 }
--- a/crates/auburnbridge/tests/processes/soak/proxy.rs
+++ b/crates/auburnbridge/tests/processes/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy before one target, whose link can be harmed.
+//! Loopback proxy in front of one target that injects faults into its connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,21 +12,21 @@
 
 use crate::platform_fleet::accept_each;
 
-const SLOW: Duration = Duration::from_millis(150);
-/// Interval at which held bytes look whether the link is open again.
-const HOLD: Duration = Duration::from_millis(20);
+const SLOW_DELAY: Duration = Duration::from_millis(150);
+/// Interval at which the state of a link that holds bytes back is checked.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// State of a link.
+/// State of the connections to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
     Open,
-    /// Each piece of bytes is late.
+    /// Each chunk of bytes is delayed.
     Slow,
-    /// No bytes pass.
+    /// No bytes are forwarded.
     Silent,
-    /// Requests pass and answers don't.
+    /// Requests are forwarded, answers are not.
     NoAnswers,
-    /// A connection that carries bytes is closed.
+    /// A connection is closed when bytes arrive.
     Reset,
     /// New connections are closed at once.
     Refused,
@@ -63,13 +63,13 @@
     let Ok(target) = TcpStream::connect(target).await else {
         return;
     };
-    let requests = copy(caller.clone(), target.clone(), &link, Direction::Request);
-    let answers = copy(target, caller, &link, Direction::Answer);
-    // Either end closes both.
+    let requests = forward(caller.clone(), target.clone(), &link, Direction::Request);
+    let answers = forward(target, caller, &link, Direction::Answer);
+    // The first direction that ends closes both connections.
     requests.or(answers).await;
 }
 
-async fn copy(mut from: TcpStream, mut to: TcpStream, link: &Mutex<Link>, direction: Direction) {
+async fn forward(mut from: TcpStream, mut to: TcpStream, link: &Mutex<Link>, direction: Direction) {
     let mut buf = vec![0; 4_096];
     loop {
         let Ok(length) = from.read(&mut buf).await else {
@@ -81,11 +81,13 @@
         loop {
             let state = *link.lock();
             match state {
-                Link::Silent => task::sleep(HOLD).await,
-                Link::NoAnswers if direction == Direction::Answer => task::sleep(HOLD).await,
+                Link::Silent => task::sleep(HOLD_POLL_INTERVAL).await,
+                Link::NoAnswers if direction == Direction::Answer => {
+                    task::sleep(HOLD_POLL_INTERVAL).await;
+                }
                 Link::Reset => return,
                 Link::Slow => {
-                    task::sleep(SLOW).await;
+                    task::sleep(SLOW_DELAY).await;
                     break;
                 }
                 Link::Open | Link::NoAnswers | Link::Refused => break,
--- a/crates/auburnbridge/tests/processes/soak/record.rs
+++ b/crates/auburnbridge/tests/processes/soak/record.rs
@@ -1,4 +1,4 @@
-//! What callers heard and what targets ran, and the promises that follow from it.
+//! Records what callers received and what targets ran, and checks the guarantees that follow from it.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -10,16 +10,16 @@
 use super::schedule::{Action, Role, Step};
 use crate::wire;
 
-/// Time after the acknowledgement of a departure from which the target gets no request.
-const DRAIN: Duration = Duration::from_secs(2);
-/// Promises with a time hold for processes that no fault has touched for this long.
-pub const IN_TOUCH: Duration = Duration::from_secs(6);
-/// Statuses that promise that the request has not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
-/// Sends of the test itself, which are not recorded.
-const OWN_ATTEMPT: &str = "a-1";
+/// Time from the acknowledgement of a departure after which the target must get no request.
+const DRAIN_LIMIT: Duration = Duration::from_secs(2);
+/// Guarantees with a time limit apply to processes that had no fault for this long.
+pub const FAULT_FREE_TIME: Duration = Duration::from_secs(6);
+/// Statuses which state that the request has not run and never will.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
+/// Attempt id of the requests of the test itself, which are not recorded.
+const TEST_ATTEMPT: &str = "a-1";
 
-/// One run of a request at a target.
+/// One run of a request on a target.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub attempt: String,
@@ -37,54 +37,54 @@
     }
 }
 
-/// What a caller heard of a request.
+/// Outcome of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Outcome {
     Status(u16),
-    /// The connection ended without an answer.
-    Cut,
+    /// The connection was closed without an answer.
+    Closed,
     /// The caller gave up.
-    Nothing,
+    GaveUp,
 }
 
 /// One request of a caller.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentRequest {
     pub attempt: String,
     pub path: String,
     pub is_once: bool,
     pub gateway: u8,
-    pub began: Instant,
-    pub ended: Instant,
-    pub heard: Heard,
+    pub start: Instant,
+    pub end: Instant,
+    pub outcome: Outcome,
 }
 
-/// The record of one seed.
+/// Events of one seed and the violations found so far.
 #[derive(Default)]
 pub struct Record {
-    sent: Mutex<Vec<Sent>>,
+    sent: Mutex<Vec<SentRequest>>,
     runs: Mutex<Vec<Run>>,
     faults: Mutex<Vec<(Instant, Step)>>,
     violations: Mutex<Vec<String>>,
-    /// Rising versions with the times of their first acknowledgements.
+    /// Versions in rising order, with the times of their first acknowledgements.
     acknowledged: Mutex<Vec<(u32, Instant)>>,
     departures: AtomicU32,
 }
 
 impl Record {
-    pub fn violate(&self, what: impl Into<String>) {
+    pub fn record_violation(&self, what: impl Into<String>) {
         self.violations.lock().push(what.into());
     }
 
-    pub fn note_fault(&self, step: &Step) {
+    pub fn record_fault(&self, step: &Step) {
         self.faults.lock().push((Instant::now(), step.clone()));
     }
 
-    pub fn note_sent(&self, sent: Sent) {
+    pub fn record_request(&self, sent: SentRequest) {
         self.sent.lock().push(sent);
     }
 
-    pub fn note_acknowledged(&self, version: u32) {
+    pub fn record_acknowledged(&self, version: u32) {
         let mut acknowledged = self.acknowledged.lock();
         if acknowledged
             .last()
@@ -99,8 +99,8 @@
         acknowledged.last().map_or(0, |(version, _)| *version)
     }
 
-    /// The version that was acknowledged before `version`.
-    pub fn acknowledged_before(&self, version: u32) -> Option<u32> {
+    /// Returns the newest acknowledged version below `version`.
+    pub fn last_acknowledged_below(&self, version: u32) -> Option<u32> {
         let acknowledged = self.acknowledged.lock();
         let older = acknowledged
             .iter()
@@ -109,58 +109,70 @@
         older.map(|(other, _)| *other)
     }
 
-    /// Whether `version` was acknowledged at least so long ago.
-    pub fn is_acknowledged_since(&self, version: u32, time: Duration) -> bool {
+    /// Whether `version` was acknowledged at least `age` ago.
+    pub fn was_acknowledged_for(&self, version: u32, age: Duration) -> bool {
         let acknowledged = self.acknowledged.lock();
         acknowledged
             .iter()
-            .any(|(other, at)| *other == version && at.elapsed() >= time)
+            .any(|(other, at)| *other == version && at.elapsed() >= age)
     }
 
-    /// Whether a step at a process that is meant was taken since `from`.
-    pub fn is_disturbed(&self, from: Instant, is_meant: impl Fn(Role, u8) -> bool) -> bool {
+    /// Whether a fault began or ended since `from` at a process that matches `is_relevant`.
+    pub fn had_fault_since(&self, from: Instant, is_relevant: impl Fn(Role, u8) -> bool) -> bool {
         self.steps_between(from, Instant::now(), |step| {
-            is_meant(step.role, step.number)
+            is_relevant(step.role, step.number)
         })
     }
 
-    /// Takes over the runs of a target.
+    /// Moves the runs of a target to the record and returns them.
     fn take_runs(&self, runs: &Mutex<Vec<Run>>) -> Vec<Run> {
         let taken = std::mem::take(&mut *runs.lock());
         self.runs.lock().extend(taken.iter().cloned());
         taken
     }
 
-    fn steps_between(&self, from: Instant, to: Instant, is_meant: impl Fn(&Step) -> bool) -> bool {
+    fn steps_between(
+        &self,
+        from: Instant,
+        to: Instant,
+        is_relevant: impl Fn(&Step) -> bool,
+    ) -> bool {
         let faults = self.faults.lock();
         faults
             .iter()
-            .any(|(at, step)| (from..=to).contains(at) && is_meant(step))
+            .any(|(at, step)| (from..=to).contains(at) && is_relevant(step))
     }
 
-    /// Looks whether a target got a request too long after its departure was acknowledged, unless a
-    /// gateway or a keeper was out of touch.
+    /// Checks that a target got no request later than [`DRAIN_LIMIT`] after its departure was
+    /// acknowledged, unless a gateway or keeper had a fault from [`FAULT_FREE_TIME`] before the
+    /// acknowledgement on.
     pub fn check_departure(&self, runs: &Mutex<Vec<Run>>, acknowledged: Instant) {
         self.departures.fetch_add(1, Ordering::SeqCst);
         let late: Vec<Run> = self
             .take_runs(runs)
             .into_iter()
-            .filter(|run| run.at > acknowledged + DRAIN)
+            .filter(|run| run.at > acknowledged + DRAIN_LIMIT)
             .collect();
-        let from = acknowledged.checked_sub(IN_TOUCH).unwrap_or(acknowledged);
-        if !late.is_empty() && !self.is_disturbed(from, |role, _| role != Role::Target) {
-            self.violate(format!("requests after a departure: {late:?}"));
+        let from = acknowledged
+            .checked_sub(FAULT_FREE_TIME)
+            .unwrap_or(acknowledged);
+        if !late.is_empty() && !self.had_fault_since(from, |role, _| role != Role::Target) {
+            self.record_violation(format!("requests after a departure: {late:?}"));
         }
     }
 
-    /// Looks at the configuration that is read back when all is over.
+    /// Checks the configuration that is read back at the end.
     pub fn check_final_configuration(&self, body: &[u8]) {
         let version = version_of(body);
         if version < self.newest_acknowledged() {
-            self.violate(format!("read back version {version} at the end"));
+            self.record_violation(format!(
+                "version {version}, older than the newest acknowledged one, is read back at the end"
+            ));
         }
         if body != wire::versioned_document(version).as_bytes() {
-            self.violate(format!("version {version} is read back with other content"));
+            self.record_violation(format!(
+                "version {version} is read back with different content"
+            ));
         }
     }
 
@@ -170,22 +182,22 @@
         }
     }
 
-    /// The promises that were broken.
+    /// Returns the violated guarantees.
     pub fn violations(&self) -> Vec<String> {
         let sent = self.sent.lock();
-        let by_attempt: HashMap<&str, &Sent> = sent
+        let by_attempt: HashMap<&str, &SentRequest> = sent
             .iter()
             .map(|sent| (sent.attempt.as_str(), sent))
             .collect();
         let runs = self.runs.lock();
         let mut counts: HashMap<&str, u32> = HashMap::new();
         let mut found = self.violations.lock().clone();
-        for run in runs.iter().filter(|run| run.attempt != OWN_ATTEMPT) {
+        for run in runs.iter().filter(|run| run.attempt != TEST_ATTEMPT) {
             *counts.entry(&run.attempt).or_default() += 1;
             match by_attempt.get(run.attempt.as_str()) {
-                None => found.push(format!("{run:?} was sent by nobody")),
+                None => found.push(format!("{run:?} was not sent by any caller")),
                 Some(sent) if sent.path != run.path => {
-                    found.push(format!("{run:?} changes {sent:?}"));
+                    found.push(format!("{run:?} has another path than {sent:?}"));
                 }
                 Some(_) => {}
             }
@@ -193,46 +205,49 @@
         for sent in sent.iter() {
             let count = counts.get(sent.attempt.as_str()).copied().unwrap_or(0);
             found.extend(
-                self.broken_by(sent, count)
+                self.violation_of(sent, count)
                     .map(|what| format!("{what}: {sent:?}")),
             );
         }
         found
     }
 
-    fn broken_by(&self, sent: &Sent, runs: u32) -> Option<&'static str> {
+    fn violation_of(&self, sent: &SentRequest, runs: u32) -> Option<&'static str> {
         if sent.is_once && runs > 1 {
             return Some("ran more than once");
         }
-        match sent.heard {
-            Heard::Status(status) if PROMISES.contains(&status) && sent.is_once && runs > 0 => {
-                Some("ran after the promise that it had not")
+        match sent.outcome {
+            Outcome::Status(status)
+                if NOT_RUN_STATUSES.contains(&status) && sent.is_once && runs > 0 =>
+            {
+                Some("ran although its status says that it did not")
             }
-            Heard::Status(200) if runs == 0 => Some("was answered, but never ran"),
-            Heard::Status(status)
-                if (300..500).contains(&status) && !PROMISES.contains(&status) =>
+            Outcome::Status(200) if runs == 0 => Some("was answered, but never ran"),
+            Outcome::Status(status)
+                if (300..500).contains(&status) && !NOT_RUN_STATUSES.contains(&status) =>
             {
-                Some("was denied")
+                Some("was rejected with an unexpected status")
             }
-            Heard::Cut if runs > 0 && !self.was_killed(sent) => {
-                Some("was cut off at a gateway that was not killed")
+            Outcome::Closed if runs > 0 && !self.gateway_was_killed(sent) => {
+                Some("was cut off by a gateway that was not killed")
             }
-            Heard::Status(_) | Heard::Cut | Heard::Nothing => None,
+            Outcome::Status(_) | Outcome::Closed | Outcome::GaveUp => None,
         }
     }
 
-    fn was_killed(&self, sent: &Sent) -> bool {
-        self.steps_between(sent.began, sent.ended, |step| {
+    /// Whether the gateway of the request was killed while the request was in flight.
+    fn gateway_was_killed(&self, sent: &SentRequest) -> bool {
+        self.steps_between(sent.start, sent.end, |step| {
             step.role == Role::Gateway && step.number == sent.gateway && step.action == Action::Kill
         })
     }
 
-    /// Counts of the seed.
+    /// Counts of the seed's events.
     pub fn summary(&self) -> String {
         let sent = self.sent.lock();
         let answered = sent
             .iter()
-            .filter(|sent| sent.heard == Heard::Status(200))
+            .filter(|sent| sent.outcome == Outcome::Status(200))
             .count();
         let kinds: HashSet<String> = self
             .faults
@@ -252,7 +267,7 @@
     }
 }
 
-/// The version of a document, 0 if it has none.
+/// Returns the version of a document, or 0 if it has none.
 pub fn version_of(body: &[u8]) -> u32 {
     let text = String::from_utf8_lossy(body);
     let digits = text
--- a/crates/auburnbridge/tests/processes/soak/schedule.rs
+++ b/crates/auburnbridge/tests/processes/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! Draws the faults of a seed: what happens when to which process or link.
+//! Generates the faults of a seed: when which process or link gets which fault.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use super::proxy::Link;
 use super::{CONTROLS, GATEWAYS, TARGETS};
 
-/// Faults begin within this time.
-const LENGTH_MS: u64 = 9_000;
-/// Faults of one seed.
-const FAULTS: usize = 14;
-/// Time for which an emptied keeper counts as lost after its start, as the operators say.
+/// Time within which faults begin.
+const FAULT_WINDOW_MS: u64 = 9_000;
+/// Number of faults drawn per seed; those that overlap another at the same process are dropped.
+const FAULT_COUNT: usize = 14;
+/// Time for which a keeper without data counts as lost after its start, as the operators define it.
 const CATCH_UP_MS: u64 = 4_000;
-/// Time after its start from which a process handles signals.
-const SIGNALS_READY_MS: u64 = 500;
-/// Time that a target needs to leave and come back, at which its link has no fault.
-const LEAVING_MS: u64 = 5_000;
+/// Time after its start within which a process may not handle signals yet.
+const STARTUP_MS: u64 = 500;
+/// Time that a target needs to leave and come back; its link gets no fault meanwhile.
+const DEPARTURE_MS: u64 = 5_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
@@ -34,10 +34,10 @@
     Thaw,
     Terminate,
     Reload,
-    /// Ends the process and removes its folder.
-    Empty,
+    /// Kills the process and removes its data folder.
+    RemoveData,
     Link(Link),
-    /// The target announces that it leaves, and comes back under another name.
+    /// The target announces its departure and comes back under another name.
     Leave,
 }
 
@@ -49,27 +49,27 @@
     pub action: Action,
 }
 
-/// The steps of a seed while they are drawn.
+/// Schedule of a seed under construction.
 struct Schedule<'a> {
     rng: &'a mut ChaCha8Rng,
     steps: Vec<Step>,
-    /// Until when each process and link has a fault, in milliseconds.
-    busy: Vec<(Role, u8, u64)>,
-    /// Until then no second disk may be lost.
-    disk_busy: u64,
+    /// Ends of the faults of each process and link, in milliseconds.
+    fault_ends: Vec<(Role, u8, u64)>,
+    /// Time before which no other keeper may lose its data, in milliseconds.
+    data_loss_blocked_until: u64,
 }
 
-/// The steps of a seed, in the order of their times.
-pub fn draw(rng: &mut ChaCha8Rng) -> Vec<Step> {
-    let mut times: Vec<u64> = (0..FAULTS)
-        .map(|_| rng.random_range(0..LENGTH_MS))
+/// Returns the steps of a seed in the order of their times.
+pub fn generate(rng: &mut ChaCha8Rng) -> Vec<Step> {
+    let mut times: Vec<u64> = (0..FAULT_COUNT)
+        .map(|_| rng.random_range(0..FAULT_WINDOW_MS))
         .collect();
     times.sort_unstable();
     let mut schedule = Schedule {
         rng,
         steps: Vec::new(),
-        busy: Vec::new(),
-        disk_busy: 0,
+        fault_ends: Vec::new(),
+        data_loss_blocked_until: 0,
     };
     for at in times {
         schedule.draw_fault(at);
@@ -91,7 +91,7 @@
     }
 
     fn is_free(&self, role: Role, number: u8, at: u64) -> bool {
-        self.busy
+        self.fault_ends
             .iter()
             .all(|(other, of, until)| (*other, *of) != (role, number) || *until < at)
     }
@@ -106,7 +106,7 @@
     }
 
     fn target(&mut self) -> u8 {
-        u8::try_from(self.rng.random_range(0..TARGETS)).expect("a few targets")
+        u8::try_from(self.rng.random_range(0..TARGETS)).expect("fewer than 256 targets")
     }
 
     fn draw_link(&mut self, at: u64, end: u64) {
@@ -123,7 +123,7 @@
         ][self.rng.random_range(0..5)];
         self.push(at, Role::Target, number, Action::Link(link));
         self.push(end, Role::Target, number, Action::Link(Link::Open));
-        self.busy.push((Role::Target, number, end));
+        self.fault_ends.push((Role::Target, number, end));
     }
 
     fn draw_process(&mut self, at: u64, end: u64, role: Role) {
@@ -137,35 +137,36 @@
             return;
         }
         let others_run = (0..count).all(|other| other == number || self.is_free(role, other, at));
-        let (action, last_action) = match self.rng.random_range(0..8) {
+        let (action, end_action) = match self.rng.random_range(0..8) {
             0 | 1 => (Action::Kill, Some(Action::Start)),
             2..=4 => (Action::Freeze, Some(Action::Thaw)),
             5 => (Action::Reload, None),
-            6 if role == Role::Control && others_run && self.disk_busy < at => {
-                self.disk_busy = end + CATCH_UP_MS;
-                (Action::Empty, Some(Action::Start))
+            6 if role == Role::Control && others_run && self.data_loss_blocked_until < at => {
+                self.data_loss_blocked_until = end + CATCH_UP_MS;
+                (Action::RemoveData, Some(Action::Start))
             }
             _ => (Action::Terminate, Some(Action::Start)),
         };
         self.push(at, role, number, action);
-        // A stop that waits for requests delays the steps behind it, but not their order.
-        if let Some(last_action) = last_action {
-            self.push(end, role, number, last_action);
+        // A graceful stop that waits for requests delays later steps, but keeps their order.
+        if let Some(end_action) = end_action {
+            self.push(end, role, number, end_action);
         }
-        self.busy.push((role, number, end + SIGNALS_READY_MS));
+        self.fault_ends.push((role, number, end + STARTUP_MS));
     }
 
-    /// All keepers are killed at the same moment, unless one is emptied or still catching up.
+    /// Kills all keepers at the same time, unless one of them has a fault or is still catching up after
+    /// the loss of its data.
     fn kill_all_controls(&mut self, at: u64, end: u64) {
         let all_free = (0..CONTROLS).all(|number| self.is_free(Role::Control, number, at));
-        if !all_free || self.disk_busy >= at {
+        if !all_free || self.data_loss_blocked_until >= at {
             return;
         }
         for number in 0..CONTROLS {
             self.push(at, Role::Control, number, Action::Kill);
             self.push(end, Role::Control, number, Action::Start);
-            let until = end + SIGNALS_READY_MS;
-            self.busy.push((Role::Control, number, until));
+            let until = end + STARTUP_MS;
+            self.fault_ends.push((Role::Control, number, until));
         }
     }
 
@@ -173,7 +174,8 @@
         let number = self.target();
         if self.is_free(Role::Target, number, at) {
             self.push(at, Role::Target, number, Action::Leave);
-            self.busy.push((Role::Target, number, at + LEAVING_MS));
+            self.fault_ends
+                .push((Role::Target, number, at + DEPARTURE_MS));
         }
     }
 }
--- a/crates/auburnbridge/tests/processes/soak/targets.rs
+++ b/crates/auburnbridge/tests/processes/soak/targets.rs
@@ -19,16 +19,16 @@
 use crate::platform_fleet::{FleetAddresses, accept_each, call};
 use crate::wire;
 
-const HEARTBEAT: Duration = Duration::from_millis(700);
-/// Time for which a target that leaves goes on serving after the acknowledgement.
-const DRAIN: Duration = Duration::from_secs(3);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(700);
+/// Time for which a leaving target serves after its departure was acknowledged.
+const DRAIN_TIME: Duration = Duration::from_secs(3);
 
 /// A target of the soak.
 pub struct SoakTarget {
     pub proxy: Proxy,
-    /// What it has run since the record last took it.
+    /// Runs that the record has not taken yet.
     pub runs: Arc<Mutex<Vec<Run>>>,
-    /// Departures that were asked for.
+    /// Number of departures requested by the schedule.
     departures: AtomicU32,
 }
 
@@ -53,7 +53,7 @@
     let mut connection = Connection::new(stream);
     while let Ok(req) = connection.read_request(&Limits::default()).await {
         let run = Run::of(&req);
-        let answer = answer_of(&req);
+        let answer = answer_to(&req);
         let work = 10 + u64::try_from(run.attempt.len() + run.path.len()).expect("short") % 7 * 10;
         runs.lock().push(run);
         task::sleep(Duration::from_millis(work)).await;
@@ -64,17 +64,17 @@
     }
 }
 
-/// The body that belongs to a request, and to no other.
-pub fn body_of(attempt: &str, path: &str) -> String {
+/// Answer body for a request; each request has a different one.
+pub fn expected_body(attempt: &str, path: &str) -> String {
     format!("{attempt} {path} {}", "x".repeat(attempt.len() * 37))
 }
 
-fn answer_of(req: &Request) -> String {
+fn answer_to(req: &Request) -> String {
     let attempt = req.headers.text(wire::ATTEMPT).unwrap_or_default();
-    wire::answer_with(attempt, &body_of(attempt, &req.path))
+    wire::answer_with(attempt, &expected_body(attempt, &req.path))
 }
 
-/// Starts the threads in which the targets announce themselves.
+/// Starts a thread for each target in which it announces itself.
 pub fn start_announcing(
     soak: &Arc<Soak>,
     addresses: &FleetAddresses,
@@ -94,11 +94,11 @@
     let target = &soak.targets[number];
     let address = target.proxy.address;
     let mut sequence = 0;
-    let mut left = 0;
+    let mut departed = 0;
     while !soak.is_over() {
-        let path = wire::target_path(&format!("i-{number}-{left}"));
+        let path = wire::target_path(&format!("i-{number}-{departed}"));
         sequence += 1;
-        let is_leaving = target.departures.load(Ordering::SeqCst) > left;
+        let is_leaving = target.departures.load(Ordering::SeqCst) > departed;
         let state = if is_leaving {
             wire::LEAVING
         } else {
@@ -111,12 +111,12 @@
         });
         if is_leaving && is_acknowledged {
             let acknowledged = Instant::now();
-            thread::sleep(DRAIN);
+            thread::sleep(DRAIN_TIME);
             soak.record.check_departure(&target.runs, acknowledged);
-            left += 1;
+            departed += 1;
             sequence = 0;
             continue;
         }
-        thread::sleep(HEARTBEAT);
+        thread::sleep(ANNOUNCE_INTERVAL);
     }
 }
