--- a/crates/auburnbridge_keeper/src/core.rs
+++ b/crates/auburnbridge_keeper/src/core.rs
@@ -430,7 +430,7 @@
                 }
                 info!("keeper snapshot installed index={}", meta.index);
             }
-            Output::SnapshotWanted { index } => {
+            Output::TakeSnapshot { index } => {
                 let data = self.state.snapshot().into();
                 return Ok(self.step(Input::SnapshotTaken { index, data }));
             }
--- a/crates/auburnbridge_log/src/input.rs
+++ b/crates/auburnbridge_log/src/input.rs
@@ -44,7 +44,7 @@
         change: MemberChange,
     },
     /// Encoded state of the state machines at `index`, in reply to
-    /// [`Output::SnapshotWanted`](crate::Output::SnapshotWanted).
+    /// [`Output::TakeSnapshot`](crate::Output::TakeSnapshot).
     SnapshotTaken {
         /// Index of the last applied record that the state includes.
         index: LogIndex,
--- a/crates/auburnbridge_log/src/lib.rs
+++ b/crates/auburnbridge_log/src/lib.rs
@@ -35,4 +35,4 @@
 pub use output::{Output, Persist, RejectReason};
 pub use record::{MAX_DATA_BYTES, Payload, Record};
 pub use replica::{Replica, Status};
-pub use snapshot::{MAX_SNAPSHOT_BYTES, Recovered, Snapshot, SnapshotMeta};
+pub use snapshot::{MAX_SNAPSHOT_BYTES, RecoveredState, Snapshot, SnapshotMeta};
--- a/crates/auburnbridge_log/src/output.rs
+++ b/crates/auburnbridge_log/src/output.rs
@@ -63,7 +63,7 @@
     },
     /// Encode the state of the state machines, which have applied exactly the records up to
     /// `index`, and reply with [`Input::SnapshotTaken`](crate::Input::SnapshotTaken).
-    SnapshotWanted {
+    TakeSnapshot {
         /// Index of the last applied record.
         index: LogIndex,
     },
--- a/crates/auburnbridge_log/src/replica/mod.rs
+++ b/crates/auburnbridge_log/src/replica/mod.rs
@@ -25,7 +25,7 @@
 use crate::record_log::RecordLog;
 use crate::{
     Body, Config, HardState, Input, LogIndex, MESSAGE_VERSION, Members, Message, Output, Payload,
-    Recovered, RejectReason, ReplicaId, Snapshot, Term, Token,
+    RecoveredState, RejectReason, ReplicaId, Snapshot, Term, Token,
 };
 
 /// One replica of the log.
@@ -98,7 +98,7 @@
     pub fn recover(
         config: Config,
         vm: VmId,
-        recovered: Recovered,
+        recovered: RecoveredState,
         seed: u64,
         now: Timestamp,
     ) -> (Self, Vec<Output>) {
--- a/crates/auburnbridge_log/src/replica/snapshots.rs
+++ b/crates/auburnbridge_log/src/replica/snapshots.rs
@@ -37,7 +37,7 @@
             return;
         }
         self.snapshot_requested = true;
-        self.outputs.push(Output::SnapshotWanted {
+        self.outputs.push(Output::TakeSnapshot {
             index: self.applied,
         });
     }
--- a/crates/auburnbridge_log/src/snapshot.rs
+++ b/crates/auburnbridge_log/src/snapshot.rs
@@ -34,7 +34,7 @@
 
 /// State recovered from a data folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Recovered {
+pub struct RecoveredState {
     /// Id of the data folder.
     pub replica: ReplicaId,
     /// Term, vote and boots, after [`HardState::begin_boot`] was applied and synced.
--- a/crates/auburnbridge_log/tests/cluster/mod.rs
+++ b/crates/auburnbridge_log/tests/cluster/mod.rs
@@ -6,7 +6,7 @@
 
 use auburnbridge_log::{
     Config, Input, LogIndex, Member, MemberChange, MemberRole, Members, Message, Output, Payload,
-    Persist, Recovered, Replica, ReplicaId, Term, Token,
+    Persist, RecoveredState, Replica, ReplicaId, Term, Token,
 };
 use auburnbridge_store::{MemoryFiles, Store};
 use auburnbridge_types::{Millis, Timestamp, VmId};
@@ -187,7 +187,7 @@
                     self.check_prefix(&state);
                     self.nodes[node].process.as_mut().unwrap().state = state;
                 }
-                Output::SnapshotWanted { index } => {
+                Output::TakeSnapshot { index } => {
                     let state = &self.nodes[node].process.as_ref().unwrap().state;
                     let data: Arc<[u8]> = postcard::to_stdvec(state).unwrap().into();
                     self.step(node, Input::SnapshotTaken { index, data });
@@ -475,7 +475,7 @@
 }
 
 /// Returns the state that a node would recover if it crashed now and lost all unsynced data.
-fn recover_from_disk(files: &MemoryFiles) -> Recovered {
+fn recover_from_disk(files: &MemoryFiles) -> RecoveredState {
     let mut number = 0;
     let random = || {
         number += 1;
--- a/crates/auburnbridge_log/tests/scenarios.rs
+++ b/crates/auburnbridge_log/tests/scenarios.rs
@@ -7,7 +7,7 @@
 use auburnbridge_log::{
     Body, Boot, Config, DecodeError, HardState, HeartbeatRound, Input, LogIndex, MAX_MEMBERS,
     MESSAGE_VERSION, Member, MemberChange, MemberRole, Members, Message, Output, Payload, PeerBoot,
-    Record, Recovered, RejectReason, Replica, ReplicaId, SnapshotMeta, Status, Term, Token,
+    Record, RecoveredState, RejectReason, Replica, ReplicaId, SnapshotMeta, Status, Term, Token,
 };
 use auburnbridge_types::Timestamp;
 use cluster::{Cluster, config};
@@ -437,7 +437,7 @@
 
 /// Creates a follower in term 2 with 20 synced records of term 1.
 fn follower_with_old_records() -> Replica {
-    let recovered = Recovered {
+    let recovered = RecoveredState {
         replica: ReplicaId(1),
         hard_state: HardState {
             term: Term(2),
--- a/crates/auburnbridge_store/src/store.rs
+++ b/crates/auburnbridge_store/src/store.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use auburnbridge_log::{
-    HardState, LogIndex, Persist, Record, Recovered, ReplicaId, Snapshot, SnapshotMeta, Term,
+    HardState, LogIndex, Persist, Record, RecoveredState, ReplicaId, Snapshot, SnapshotMeta, Term,
 };
 use uuid::Uuid;
 
@@ -35,7 +35,7 @@
 
 impl Store {
     /// Opens a folder of the operating system, or makes one with a new identity, and begins a boot.
-    pub fn open(folder: &Path) -> Result<(Self, Recovered), StoreError> {
+    pub fn open(folder: &Path) -> Result<(Self, RecoveredState), StoreError> {
         let files = RealFiles::new(folder).map_err(|source| StoreError::Io {
             file: folder.display().to_string(),
             action: "create",
@@ -48,7 +48,7 @@
     pub fn open_files(
         files: Box<dyn Files>,
         mut random: impl FnMut() -> u128,
-    ) -> Result<(Self, Recovered), StoreError> {
+    ) -> Result<(Self, RecoveredState), StoreError> {
         let mut store = Self {
             files,
             segments: Vec::new(),
@@ -91,7 +91,7 @@
         let nonce = u64::try_from(random() >> 64).expect("a shifted u128 fits into 64 bits");
         let hard_state = hard_state.begin_boot(nonce);
         store.write_hard_state(&hard_state)?;
-        let recovered = Recovered {
+        let recovered = RecoveredState {
             replica,
             hard_state,
             snapshot,
--- a/crates/auburnbridge_store/tests/recovery.rs
+++ b/crates/auburnbridge_store/tests/recovery.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use auburnbridge_log::{
-    HardState, LogIndex, Members, Payload, Persist, Record, Recovered, ReplicaId, Snapshot,
+    HardState, LogIndex, Members, Payload, Persist, Record, RecoveredState, ReplicaId, Snapshot,
     SnapshotMeta, Term,
 };
 use auburnbridge_store::{Files, MemoryFiles, RealFiles, Store, StoreError};
@@ -137,7 +137,7 @@
     }
 }
 
-fn open(files: &MemoryFiles, numbers: &mut Numbers) -> Result<(Store, Recovered), StoreError> {
+fn open(files: &MemoryFiles, numbers: &mut Numbers) -> Result<(Store, RecoveredState), StoreError> {
     let random = || (u128::from(numbers.next()) << 64) | u128::from(numbers.next());
     let (mut store, recovered) = Store::open_files(Box::new(files.clone()), random)?;
     // Small segments, so that the crash points include the start and removal of segments.
@@ -170,7 +170,7 @@
 }
 
 /// Checks that the folder holds every synced change and nothing that was never written.
-fn check(recovered: &Recovered, before: &Model, after: &Model) {
+fn check(recovered: &RecoveredState, before: &Model, after: &Model) {
     let hard = (recovered.hard_state.term, recovered.hard_state.vote);
     let known = [before, after].map(|model| (model.hard.term, model.hard.vote));
     assert!(
