--- a/crates/auburnbridge_capacity/src/fixtures.rs
+++ b/crates/auburnbridge_capacity/src/fixtures.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use auburnbridge_ledger::{Command, LedgerKey, StoredAnswer};
-use auburnbridge_membership::{Announcement, EntryAnnouncement, State};
+use auburnbridge_membership::{AnnouncedState, Announcement, EntryAnnouncement};
 use auburnbridge_policy::{Member, Presence};
 use auburnbridge_types::{
     AttemptId, BodyDigest, IdempotencyKey, Incarnation, Millis, Revision, Sequence, Slots,
@@ -36,7 +36,7 @@
         incarnation: Incarnation(u64::from(number % 7) + START.0),
         sequence: Sequence(sequence),
         slots: Slots(3),
-        state: State::Ready,
+        state: AnnouncedState::Ready,
     }
 }
 
@@ -50,7 +50,7 @@
         boot: 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(u64::from(number) + 1),
         sequence: Sequence(sequence),
         revision: Revision(4_015_000),
-        state: State::Ready,
+        state: AnnouncedState::Ready,
     }
 }
 
--- a/crates/auburnbridge_capacity/src/gossip.rs
+++ b/crates/auburnbridge_capacity/src/gossip.rs
@@ -3,7 +3,7 @@
 use auburnbridge_http::{
     Request as HttpRequest, RequestInfo, Response, Verdict, encode_request, encode_response,
 };
-use auburnbridge_membership::{Announced, Entries, Gossip, Members, Membership};
+use auburnbridge_membership::{Announced, EntryMembership, Gossip, Membership, TargetMembership};
 use auburnbridge_messages::{Reply, Request};
 use auburnbridge_types::{Millis, Timestamp};
 
@@ -97,12 +97,13 @@
                 .map(|n| fixtures::announcement(n, sequence))
                 .collect()
         };
-        let members: Members = measure_rumours(report, size, &TARGET_METRICS, make, |targets| {
-            Request::Rumours {
-                targets,
-                entries: Vec::new(),
-            }
-        });
+        let members: TargetMembership =
+            measure_rumours(report, size, &TARGET_METRICS, make, |targets| {
+                Request::Rumours {
+                    targets,
+                    entries: Vec::new(),
+                }
+            });
         measure_queue(report, size);
         measure_comparisons(report, size, members);
         report.record(HTTP_BYTES, size, http_bytes(size - 1));
@@ -113,7 +114,7 @@
                 .map(|n| fixtures::entry_announcement(n, sequence))
                 .collect()
         };
-        let _: Entries = measure_rumours(report, size, &ENTRY_METRICS, make, |entries| {
+        let _: EntryMembership = measure_rumours(report, size, &ENTRY_METRICS, make, |entries| {
             Request::Rumours {
                 targets: Vec::new(),
                 entries,
@@ -181,7 +182,7 @@
     report.record(TARGET_KEPT, size, kept as f64 / f64::from(size));
 }
 
-fn measure_comparisons(report: &mut Report, size: u32, members: Members) {
+fn measure_comparisons(report: &mut Report, size: u32, members: TargetMembership) {
     let mut ours = members;
     let mut theirs = ours.clone();
     let now = START;
@@ -196,7 +197,7 @@
     report.record(TARGET_ONE_BYTES, size, bytes);
     report.record(TARGET_ONE_TIME, size, nanos / 1e3);
 
-    let mut learner = Members::default();
+    let mut learner = TargetMembership::default();
     let mut bytes = 0.0;
     let mut rounds = 0;
     while learner.len() < ours.len() && rounds < MAX_COMPARISONS {
@@ -209,7 +210,7 @@
 }
 
 /// Runs one comparison as two entries do, encoded, and gives the bytes of its messages.
-fn compare(now: Timestamp, caller: &mut Members, server: &mut Members) -> f64 {
+fn compare(now: Timestamp, caller: &mut TargetMembership, server: &mut TargetMembership) -> f64 {
     let mut bytes = 0;
     let mut message = Some(caller.open_exchange());
     for _ in 0..MAX_MESSAGES {
@@ -219,13 +220,13 @@
         let Ok(Request::SyncTargets(received)) = Request::decode(&request) else {
             unreachable!("a message decodes to what was encoded")
         };
-        let (reply, _) = server.exchange(now, received);
+        let (reply, _) = server.handle_message(now, received);
         let reply = Reply::SyncTargets(reply).encode().expect("it fits");
         bytes += reply.len();
         let Ok(Reply::SyncTargets(received)) = Reply::decode(&reply) else {
             unreachable!("a message decodes to what was encoded")
         };
-        message = received.and_then(|reply| caller.exchange(now, reply).0);
+        message = received.and_then(|reply| caller.handle_message(now, reply).0);
     }
     bytes as f64
 }
--- a/crates/auburnbridge_entry/src/neighbours.rs
+++ b/crates/auburnbridge_entry/src/neighbours.rs
@@ -8,8 +8,8 @@
 
 use auburnbridge_config::{Delta, RulesCopy};
 use auburnbridge_membership::{
-    Announcement, Entries, EntryAnnouncement, Gossip, Liveness, Members, State, SyncMessage,
-    Verdict,
+    AnnouncedState, Announcement, EntryAnnouncement, EntryMembership, Gossip, Liveness,
+    SyncMessage, TargetMembership, Verdict,
 };
 use auburnbridge_messages::{self as messages, Reply, Request, ServiceEvidence};
 use auburnbridge_peer::{PeerAddress, Transport};
@@ -40,8 +40,8 @@
     seeds: Vec<PeerAddress>,
     transport: Arc<dyn Transport>,
     clock: Arc<dyn Clock>,
-    targets: Mutex<Members>,
-    entries: Mutex<Entries>,
+    targets: Mutex<TargetMembership>,
+    entries: Mutex<EntryMembership>,
     target_rumours: Mutex<Gossip<Announcement>>,
     entry_rumours: Mutex<Gossip<EntryAnnouncement>>,
     rules: Mutex<RulesCopy>,
@@ -137,7 +137,7 @@
     }
 
     /// Sets the state that this entry announces to the other entries.
-    pub fn set_state(&self, state: State) {
+    pub fn set_state(&self, state: AnnouncedState) {
         self.own.lock().state = state;
     }
 
@@ -221,7 +221,10 @@
         &self,
         message: SyncMessage<Announcement>,
     ) -> Option<SyncMessage<Announcement>> {
-        let (reply, new) = self.targets.lock().exchange(self.clock.now(), message);
+        let (reply, new) = self
+            .targets
+            .lock()
+            .handle_message(self.clock.now(), message);
         self.target_rumours.lock().push(new);
         reply
     }
@@ -231,7 +234,10 @@
         &self,
         message: SyncMessage<EntryAnnouncement>,
     ) -> Option<SyncMessage<EntryAnnouncement>> {
-        let (reply, new) = self.entries.lock().exchange(self.clock.now(), message);
+        let (reply, new) = self
+            .entries
+            .lock()
+            .handle_message(self.clock.now(), message);
         self.entry_rumours.lock().push(new);
         reply
     }
--- a/crates/auburnbridge_entry/src/run.rs
+++ b/crates/auburnbridge_entry/src/run.rs
@@ -11,7 +11,7 @@
     Disconnect, Lifecycle, Listener, ListenerOptions, Phase, Service, TideService,
 };
 use auburnbridge_http::{Limits, MemoryBudget, Request, Response};
-use auburnbridge_membership::{Announcement, EntryAnnouncement, State, Verdict};
+use auburnbridge_membership::{AnnouncedState, Announcement, EntryAnnouncement, Verdict};
 use auburnbridge_messages::MESSAGE_LIMIT;
 use auburnbridge_metrics::Metrics;
 use auburnbridge_peer::keys::KeyRing;
@@ -192,7 +192,7 @@
             shared.lifecycle.in_flight()
         );
         shared.lifecycle.begin_draining();
-        shared.neighbours.set_state(State::Leaving);
+        shared.neighbours.set_state(AnnouncedState::Leaving);
         let lag = shared.clock.sleep(shared.options.balancer_lag);
         futures_lite::FutureExt::or(lag, skip_lag).await;
         info!(
@@ -396,6 +396,6 @@
         boot: rand::random(),
         sequence: Sequence(0),
         revision: Revision(0),
-        state: State::Ready,
+        state: AnnouncedState::Ready,
     }
 }
--- a/crates/auburnbridge_gateway/src/service_table.rs
+++ b/crates/auburnbridge_gateway/src/service_table.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use auburnbridge_membership::{Announcement, Members, State};
+use auburnbridge_membership::{AnnouncedState, Announcement, TargetMembership};
 use auburnbridge_policy::balance::{
     BalancedMember, DispatcherOptions, GatewayPlace, LoadReport, ReportedFinding,
 };
@@ -20,7 +20,7 @@
 pub struct ServiceTable {
     clock: Arc<dyn Clock>,
     options: DispatcherOptions,
-    members: Mutex<Members>,
+    members: Mutex<TargetMembership>,
     other_gateways: Mutex<Vec<GatewayPlace>>,
     dispatchers: RwLock<HashMap<ServiceName, Arc<ServiceDispatcher>>>,
 }
@@ -113,7 +113,7 @@
     }
 
     /// Passes each dispatcher the targets of its service.
-    fn update_dispatchers(&self, members: &Members) {
+    fn update_dispatchers(&self, members: &TargetMembership) {
         let newest_incarnations = newest_incarnations_by_address(members);
         for dispatcher in self.dispatchers() {
             let now = self.clock.now();
@@ -137,9 +137,12 @@
 
 /// The newest incarnation announced at each address. Older ones have ended, whether or not they
 /// announced their departure.
-fn newest_incarnations_by_address(members: &Members) -> HashMap<SocketAddr, Incarnation> {
+fn newest_incarnations_by_address(members: &TargetMembership) -> HashMap<SocketAddr, Incarnation> {
     let mut newest_incarnations: HashMap<SocketAddr, Incarnation> = HashMap::new();
-    for target in members.iter().filter(|target| target.state == State::Ready) {
+    for target in members
+        .iter()
+        .filter(|target| target.state == AnnouncedState::Ready)
+    {
         let incarnation = newest_incarnations
             .entry(target.address)
             .or_insert(target.incarnation);
--- a/crates/auburnbridge_gateway/tests/forwarding/targets.rs
+++ b/crates/auburnbridge_gateway/tests/forwarding/targets.rs
@@ -10,7 +10,7 @@
 use auburnbridge_caller::{Lifecycle, LimitSource, Listener, ListenerOptions};
 use auburnbridge_gateway::{CallerService, Gateway, GatewayDependencies, ServiceTable};
 use auburnbridge_http::{Connection, Limits, MemoryBudget, Request, RequestInfo, Response};
-use auburnbridge_membership::{Announcement, State};
+use auburnbridge_membership::{AnnouncedState, Announcement};
 use auburnbridge_policy::RequestClass;
 use auburnbridge_policy::balance::{
     BalancerOptions, DispatcherOptions, GatewayPlace, SendBudgetOptions,
@@ -142,7 +142,7 @@
         incarnation: Incarnation(1),
         sequence: Sequence(1),
         slots: Slots(2),
-        state: State::Ready,
+        state: AnnouncedState::Ready,
     }
 }
 
--- a/crates/auburnbridge_keeper/src/catalogue.rs
+++ b/crates/auburnbridge_keeper/src/catalogue.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use auburnbridge_config::Publish;
-use auburnbridge_membership::{Announcement, Members, State, Verdict};
+use auburnbridge_membership::{AnnouncedState, Announcement, TargetMembership, Verdict};
 use auburnbridge_messages::{GatewayLocation, Heard, ListPosition, Watch, Watched};
 use auburnbridge_types::{Clock, ConfigVersion, Incarnation, Millis, TargetId, Timestamp, VmId};
 use event_listener::Event;
@@ -34,7 +34,7 @@
 
 struct CatalogueState {
     boot: u64,
-    members: Members,
+    members: TargetMembership,
     changes: u64,
     /// The last changes, oldest first.
     recent: VecDeque<Announcement>,
@@ -68,7 +68,7 @@
             clock,
             state: Mutex::new(CatalogueState {
                 boot,
-                members: Members::default(),
+                members: TargetMembership::default(),
                 changes: 0,
                 recent: VecDeque::new(),
                 document: None,
@@ -110,9 +110,9 @@
                 // A later life has begun, so this one gets no work any more.
                 LeavingTarget::Departed
             }
-            Some(known) if known.state == State::Leaving => LeavingTarget::Departed,
+            Some(known) if known.state == AnnouncedState::Leaving => LeavingTarget::Departed,
             Some(known) => LeavingTarget::Present(Announcement {
-                state: State::Leaving,
+                state: AnnouncedState::Leaving,
                 ..known.clone()
             }),
         }
@@ -126,7 +126,8 @@
             .get(&announcement.service, &announcement.target);
         known.is_some_and(|known| {
             known.incarnation > announcement.incarnation
-                || (known.incarnation == announcement.incarnation && known.state == State::Leaving)
+                || (known.incarnation == announcement.incarnation
+                    && known.state == AnnouncedState::Leaving)
         })
     }
 
@@ -137,7 +138,7 @@
         let before = state.changes;
         for announcement in heard.targets {
             // Departures take effect through the log alone.
-            if announcement.state == State::Ready {
+            if announcement.state == AnnouncedState::Ready {
                 state.take(now, announcement);
             }
         }
--- a/crates/auburnbridge_keeper/src/control.rs
+++ b/crates/auburnbridge_keeper/src/control.rs
@@ -7,7 +7,7 @@
 use auburnbridge_caller::{Disconnect, Service};
 use auburnbridge_config::Publish;
 use auburnbridge_http::{Request, Response};
-use auburnbridge_membership::{Announcement, State, Verdict};
+use auburnbridge_membership::{AnnouncedState, Announcement, Verdict};
 use auburnbridge_messages::{pack_document, unpack_document};
 use auburnbridge_routing::{CallError, ControlCall, Dialect, PublishedDocument};
 use auburnbridge_telemetry::ProcessMetrics;
@@ -97,7 +97,7 @@
     }
 
     async fn announce(&self, announcement: Announcement) -> Response {
-        if announcement.state == State::Leaving {
+        if announcement.state == AnnouncedState::Leaving {
             return self.record_departure(announcement).await;
         }
         match self.catalogue.announce(announcement.clone()) {
--- a/crates/auburnbridge_keeper/tests/catalogue.rs
+++ b/crates/auburnbridge_keeper/tests/catalogue.rs
@@ -8,7 +8,7 @@
 use auburnbridge_keeper::{
     CachedView, Catalogue, CommitObserver, LeavingTarget, ViewCache, read_view,
 };
-use auburnbridge_membership::{Announcement, State, Verdict};
+use auburnbridge_membership::{AnnouncedState, Announcement, Verdict};
 use auburnbridge_messages::{GatewayLocation, Heard, Watch, Watched};
 use auburnbridge_types::{
     Clock, ConfigVersion, Incarnation, Millis, PausedClock, Sequence, Slots, TargetId, Timestamp,
@@ -26,13 +26,13 @@
         incarnation: Incarnation(born),
         sequence: Sequence(sequence),
         slots: Slots(3),
-        state: State::Ready,
+        state: AnnouncedState::Ready,
     }
 }
 
 fn leaving(target: &str, born: u64, sequence: u64) -> Announcement {
     Announcement {
-        state: State::Leaving,
+        state: AnnouncedState::Leaving,
         ..announcement(target, born, sequence)
     }
 }
@@ -65,8 +65,8 @@
     block_on(catalogue.watch(&vm, watch))
 }
 
-fn ids(watched: &Watched) -> Vec<(&str, State)> {
-    let mut ids: Vec<(&str, State)> = watched
+fn ids(watched: &Watched) -> Vec<(&str, AnnouncedState)> {
+    let mut ids: Vec<(&str, AnnouncedState)> = watched
         .targets
         .iter()
         .map(|target| (target.target.as_str(), target.state))
@@ -86,13 +86,16 @@
     let first = watch(&catalogue, None);
     assert_eq!(
         ids(&first),
-        [("t-1", State::Ready), ("t-2", State::Leaving)]
+        [
+            ("t-1", AnnouncedState::Ready),
+            ("t-2", AnnouncedState::Leaving)
+        ]
     );
     // Renewals are no news.
     catalogue.announce(announcement("t-1", 5, 2));
     catalogue.announce(announcement("t-3", 5, 1));
     let second = watch(&catalogue, Some(&first));
-    assert_eq!(ids(&second), [("t-3", State::Ready)]);
+    assert_eq!(ids(&second), [("t-3", AnnouncedState::Ready)]);
     assert_eq!(ids(&watch(&catalogue, Some(&second))), []);
 }
 
@@ -107,7 +110,10 @@
     old.announce(announcement("t-1", 5, 1));
     new.announce(announcement("t-2", 5, 1));
     let watched = watch(&old, None);
-    assert_eq!(ids(&watch(&new, Some(&watched))), [("t-2", State::Ready)]);
+    assert_eq!(
+        ids(&watch(&new, Some(&watched))),
+        [("t-2", AnnouncedState::Ready)]
+    );
 }
 
 /// Guards against a departed target that comes back by a late announcement of the same life, and
@@ -161,7 +167,10 @@
     });
     assert_eq!(
         ids(&watch(&catalogue, None)),
-        [("t-1", State::Ready), ("t-2", State::Ready)]
+        [
+            ("t-1", AnnouncedState::Ready),
+            ("t-2", AnnouncedState::Ready)
+        ]
     );
 }
 
--- a/crates/auburnbridge_membership/examples/membership_cost.rs
+++ b/crates/auburnbridge_membership/examples/membership_cost.rs
@@ -7,7 +7,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use auburnbridge_membership::{Announcement, Members, State, SyncMessage};
+use auburnbridge_membership::{AnnouncedState, Announcement, SyncMessage, TargetMembership};
 use auburnbridge_types::{Incarnation, Sequence, Slots, Timestamp};
 
 const SIZES: [usize; 4] = [100, 1_000, 10_000, 54_000];
@@ -27,7 +27,7 @@
         incarnation: Incarnation(1_790_000_000_000),
         sequence: Sequence(sequence),
         slots: Slots(3),
-        state: State::Ready,
+        state: AnnouncedState::Ready,
     }
 }
 
@@ -43,8 +43,8 @@
     pages.unwrap_or(0) * PAGE_BYTES
 }
 
-fn members(count: usize, sequence: u64) -> Members {
-    let mut members = Members::default();
+fn members(count: usize, sequence: u64) -> TargetMembership {
+    let mut members = TargetMembership::default();
     for number in 0..count {
         members.announce(START, announcement(number, sequence));
     }
@@ -70,7 +70,7 @@
     let mut message = Some(opener.open_exchange());
     while let Some(sent) = message {
         sizes.push(encoded_bytes(&sent));
-        message = other.exchange(START, sent).0;
+        message = other.handle_message(START, sent).0;
         std::mem::swap(&mut opener, &mut other);
     }
     sizes
@@ -78,7 +78,7 @@
 
 /// Resident memory per target for each of [`SIZES`], in bytes.
 fn bytes_per_target() -> Vec<usize> {
-    let mut kept: Vec<Members> = Vec::new();
+    let mut kept: Vec<TargetMembership> = Vec::new();
     let mut per_target = Vec::new();
     for count in SIZES {
         let copies = SIZES[3].div_ceil(count);
--- a/crates/auburnbridge_membership/src/announcement.rs
+++ b/crates/auburnbridge_membership/src/announcement.rs
@@ -28,7 +28,7 @@
 )]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
-pub enum State {
+pub enum AnnouncedState {
     /// The sender accepts requests.
     Ready,
     /// The sender accepts no new requests for the rest of its incarnation.
@@ -53,7 +53,7 @@
     /// Number of requests that the target runs concurrently.
     pub slots: Slots,
     /// Whether the target accepts new requests.
-    pub state: State,
+    pub state: AnnouncedState,
 }
 
 /// State that an entry announces about itself.
@@ -65,7 +65,7 @@
     pub address: SocketAddr,
     /// Data centre in which the entry runs.
     pub data_centre: DataCentre,
-    /// Number of the entry process; see [`crate::Entries::incarnation_after_restart`].
+    /// Number of the entry process; see [`crate::EntryMembership::incarnation_after_restart`].
     pub incarnation: Incarnation,
     /// Random number that the process draws when it starts.
     pub boot: u64,
@@ -74,7 +74,7 @@
     /// Rules revision in force on the entry.
     pub revision: Revision,
     /// Whether the entry accepts new requests.
-    pub state: State,
+    pub state: AnnouncedState,
 }
 
 /// Properties of an announcement that [`crate::Membership`] relies on.
@@ -93,7 +93,7 @@
     /// Position of the announcement within the incarnation.
     fn sequence(&self) -> Sequence;
     /// Whether the sender accepts new requests.
-    fn state(&self) -> State;
+    fn state(&self) -> AnnouncedState;
     /// Address and boot number of the process that claims the id; fixed within an incarnation.
     fn process(&self) -> (SocketAddr, u64);
     /// Remaining fields, as a number and a text.
@@ -170,7 +170,7 @@
         self.sequence
     }
 
-    fn state(&self) -> State {
+    fn state(&self) -> AnnouncedState {
         self.state
     }
 
@@ -203,7 +203,7 @@
         self.sequence
     }
 
-    fn state(&self) -> State {
+    fn state(&self) -> AnnouncedState {
         self.state
     }
 
--- a/crates/auburnbridge_membership/src/lib.rs
+++ b/crates/auburnbridge_membership/src/lib.rs
@@ -1,7 +1,8 @@
 //! Membership of targets and entries: announcements, leases, departures and gossip.
 //!
 //! A [`Membership`] is the state of one entry. It performs no I/O, and callers pass in the time.
-//! The same rules apply to targets ([`Members`]) and to the entries themselves ([`Entries`]).
+//! The same rules apply to targets ([`TargetMembership`]) and to the entries themselves
+//! ([`EntryMembership`]).
 //!
 //! Announcements of one id have a total order: incarnation, leaving state, address, sequence, and
 //! the remaining fields as a tie-break. Each entry keeps the highest one, so entries converge under
@@ -24,7 +25,7 @@
 mod membership;
 mod sync;
 
-pub use announcement::{Announced, Announcement, EntryAnnouncement, State};
+pub use announcement::{Announced, AnnouncedState, Announcement, EntryAnnouncement};
 pub use gossip::{Gossip, MAX_PENDING_RUMOURS};
 pub use membership::{Liveness, Membership, Verdict};
 pub use sync::{GroupDigest, GroupVersions, Offer, SyncMessage, Version};
@@ -32,10 +33,10 @@
 use auburnbridge_types::Millis;
 
 /// Membership of the targets, grouped by service.
-pub type Members = Membership<Announcement>;
+pub type TargetMembership = Membership<Announcement>;
 
 /// Membership of the entries, grouped by data centre.
-pub type Entries = Membership<EntryAnnouncement>;
+pub type EntryMembership = Membership<EntryAnnouncement>;
 
 /// Duration of a lease; targets send an announcement every second.
 pub const LEASE: Millis = Millis(5_000);
--- a/crates/auburnbridge_membership/src/membership.rs
+++ b/crates/auburnbridge_membership/src/membership.rs
@@ -6,8 +6,8 @@
 use strum::{Display, IntoStaticStr};
 
 use crate::{
-    Announced, DEPARTURE_RETENTION, Entries, EntryAnnouncement, FORGET_AFTER, LEASE, MAX_DEPARTED,
-    MAX_GROUPS, MAX_PRESENT, State,
+    Announced, AnnouncedState, DEPARTURE_RETENTION, EntryAnnouncement, EntryMembership,
+    FORGET_AFTER, LEASE, MAX_DEPARTED, MAX_GROUPS, MAX_PRESENT,
 };
 
 /// Result of applying an announcement.
@@ -271,7 +271,7 @@
         if !self.has_capacity_for(&announcement, is_present) {
             return Verdict::Full;
         }
-        if announcement.state() == State::Leaving {
+        if announcement.state() == AnnouncedState::Leaving {
             self.record_departure(now, announcement);
             return Verdict::Left;
         }
@@ -283,7 +283,7 @@
         if !self.groups.contains_key(announcement.group()) && self.groups.len() >= MAX_GROUPS {
             return false;
         }
-        is_present || announcement.state() == State::Leaving || self.present < MAX_PRESENT
+        is_present || announcement.state() == AnnouncedState::Leaving || self.present < MAX_PRESENT
     }
 
     pub(crate) fn record(&self, group: &A::Group, id: &A::Id) -> Option<&Record<A>> {
@@ -390,7 +390,7 @@
     }
 }
 
-impl Entries {
+impl EntryMembership {
     /// Incarnation that `own` must adopt so that other entries accept its announcements, or `None`
     /// if the current one suffices.
     ///
--- a/crates/auburnbridge_membership/src/sync.rs
+++ b/crates/auburnbridge_membership/src/sync.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::membership::{Group, Present, Record};
-use crate::{Announced, Liveness, MAX_GROUPS, MAX_PER_MESSAGE, Membership, State};
+use crate::{Announced, AnnouncedState, Liveness, MAX_GROUPS, MAX_PER_MESSAGE, Membership};
 
 /// Message of an anti-entropy exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -105,7 +105,7 @@
                 Liveness::Stale => self.stale.push(present.announcement.clone()),
             },
             Record::Departed(departed) => {
-                if departed.announcement.state() == State::Leaving {
+                if departed.announcement.state() == AnnouncedState::Leaving {
                     self.fresh.push(departed.announcement.clone());
                 }
             }
@@ -121,7 +121,7 @@
 
     /// Handles one message of an exchange. Returns the reply, if any, and the new announcements, to
     /// be forwarded.
-    pub fn exchange(
+    pub fn handle_message(
         &mut self,
         now: Timestamp,
         message: SyncMessage<A>,
--- a/crates/auburnbridge_membership/tests/membership.rs
+++ b/crates/auburnbridge_membership/tests/membership.rs
@@ -3,8 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use auburnbridge_membership::{
-    Announced, Announcement, DEPARTURE_RETENTION, Entries, EntryAnnouncement, FORGET_AFTER, Gossip,
-    LEASE, Liveness, MAX_DEPARTED, MAX_PRESENT, Members, Membership, State, SyncMessage, Verdict,
+    Announced, AnnouncedState, Announcement, DEPARTURE_RETENTION, EntryAnnouncement,
+    EntryMembership, FORGET_AFTER, Gossip, LEASE, Liveness, MAX_DEPARTED, MAX_PRESENT, Membership,
+    SyncMessage, TargetMembership, Verdict,
 };
 use auburnbridge_types::{Incarnation, Millis, Revision, Sequence, Slots, Timestamp};
 use proptest::prelude::*;
@@ -23,13 +24,13 @@
         incarnation: Incarnation(incarnation),
         sequence: Sequence(sequence),
         slots: Slots(3),
-        state: State::Ready,
+        state: AnnouncedState::Ready,
     }
 }
 
 fn leaving(target: &str, incarnation: u64, sequence: u64) -> Announcement {
     Announcement {
-        state: State::Leaving,
+        state: AnnouncedState::Leaving,
         ..ready(target, incarnation, sequence)
     }
 }
@@ -41,7 +42,7 @@
     }
 }
 
-fn view(members: &Members, now: Timestamp) -> Vec<(Announcement, Liveness)> {
+fn view(members: &TargetMembership, now: Timestamp) -> Vec<(Announcement, Liveness)> {
     let service = "stock".parse().unwrap();
     members
         .view(&service, now)
@@ -61,7 +62,7 @@
     while let Some(sent) = message {
         let bytes = postcard::to_stdvec(&sent).unwrap();
         let received: SyncMessage<A> = postcard::from_bytes(&bytes).unwrap();
-        message = sides[0].exchange(now, received).0;
+        message = sides[0].handle_message(now, received).0;
         sides.reverse();
     }
 }
@@ -96,7 +97,7 @@
         (leaving("new", 1, 1), Verdict::Left),
         (ready("new", 1, 2), Verdict::Outdated),
     ];
-    let mut members = Members::default();
+    let mut members = TargetMembership::default();
     for (announcement, expected) in steps {
         let verdict = members.announce(START, announcement.clone());
         assert_eq!(verdict, expected, "{announcement:?}");
@@ -108,10 +109,10 @@
 /// announcement that restores a removed target.
 #[test]
 fn lease_runs_from_the_first_receipt_of_a_sequence() {
-    let mut members = Members::default();
+    let mut members = TargetMembership::default();
     members.announce(START, ready("a", 1, 1));
     members.announce(START.after(Millis(LEASE.0 - 1)), ready("a", 1, 1));
-    let liveness = |members: &Members, at| view(members, START.after(at))[0].1;
+    let liveness = |members: &TargetMembership, at| view(members, START.after(at))[0].1;
     assert_eq!(liveness(&members, Millis(LEASE.0 - 1)), Liveness::Fresh);
     assert_eq!(liveness(&members, LEASE), Liveness::Stale);
     members.announce(START.after(LEASE), ready("a", 1, 2));
@@ -133,8 +134,11 @@
 /// announcement to each other.
 #[test]
 fn stale_announcements_spread_one_hop_and_get_no_lease() {
-    let (mut first, mut second, mut third) =
-        (Members::default(), Members::default(), Members::default());
+    let (mut first, mut second, mut third) = (
+        TargetMembership::default(),
+        TargetMembership::default(),
+        TargetMembership::default(),
+    );
     first.announce(START, ready("a", 1, 1));
     let now = START.after(LEASE);
     exchange(now, &mut first, &mut second);
@@ -150,7 +154,7 @@
 /// Guards against unbounded memory use when very many ids are announced.
 #[test]
 fn counts_are_bounded() {
-    let mut members = Members::default();
+    let mut members = TargetMembership::default();
     for number in 0..MAX_PRESENT {
         let target = format!("t{number}");
         assert_eq!(
@@ -178,7 +182,7 @@
         boot: 1,
         sequence: Sequence(1),
         revision: Revision(4),
-        state: State::Ready,
+        state: AnnouncedState::Ready,
     }
 }
 
@@ -186,9 +190,9 @@
 #[test]
 fn entries_learn_of_each_other_from_one_seed() {
     const COUNT: u8 = 16;
-    let mut all: Vec<Entries> = (1..=COUNT)
+    let mut all: Vec<EntryMembership> = (1..=COUNT)
         .map(|number| {
-            let mut entries = Entries::default();
+            let mut entries = EntryMembership::default();
             entries.announce(START, entry(number));
             entries
         })
@@ -217,25 +221,37 @@
     };
     for (known, own, expected) in [
         (
-            entry(7, 1, State::Ready),
-            entry(5, 2, State::Ready),
+            entry(7, 1, AnnouncedState::Ready),
+            entry(5, 2, AnnouncedState::Ready),
             Some(8),
         ),
         (
-            entry(7, 1, State::Ready),
-            entry(7, 2, State::Ready),
+            entry(7, 1, AnnouncedState::Ready),
+            entry(7, 2, AnnouncedState::Ready),
             Some(8),
         ),
         (
-            entry(7, 1, State::Leaving),
-            entry(7, 1, State::Ready),
+            entry(7, 1, AnnouncedState::Leaving),
+            entry(7, 1, AnnouncedState::Ready),
             Some(8),
         ),
-        (entry(7, 1, State::Ready), entry(7, 1, State::Ready), None),
-        (entry(4, 1, State::Leaving), entry(5, 2, State::Ready), None),
-        (entry(7, 1, State::Ready), entry(7, 1, State::Leaving), None),
+        (
+            entry(7, 1, AnnouncedState::Ready),
+            entry(7, 1, AnnouncedState::Ready),
+            None,
+        ),
+        (
+            entry(4, 1, AnnouncedState::Leaving),
+            entry(5, 2, AnnouncedState::Ready),
+            None,
+        ),
+        (
+            entry(7, 1, AnnouncedState::Ready),
+            entry(7, 1, AnnouncedState::Leaving),
+            None,
+        ),
     ] {
-        let mut entries = Entries::default();
+        let mut entries = EntryMembership::default();
         entries.announce(START, known);
         let next = entries.incarnation_after_restart(&own);
         assert_eq!(next, expected.map(Incarnation), "{own:?}");
@@ -273,9 +289,9 @@
             address: format!("10.0.0.{}:80", kind % 2).parse().unwrap(),
             slots: Slots(slots),
             state: if kind < 2 {
-                State::Leaving
+                AnnouncedState::Leaving
             } else {
-                State::Ready
+                AnnouncedState::Ready
             },
             ..ready("t0", incarnation, sequence)
         },
@@ -295,14 +311,14 @@
             *known = announcement.clone();
         }
     }
-    highest.retain(|_, announcement| announcement.state == State::Ready);
+    highest.retain(|_, announcement| announcement.state == AnnouncedState::Ready);
     for announcement in highest.values_mut() {
         announcement.sequence = Sequence(0);
     }
     highest
 }
 
-fn current_view(members: &Members) -> BTreeMap<String, Announcement> {
+fn current_view(members: &TargetMembership) -> BTreeMap<String, Announcement> {
     view(members, START)
         .into_iter()
         .map(|(announcement, _)| {
@@ -337,7 +353,11 @@
     fn one_full_exchange_converges(
         deliveries in prop::collection::vec((announcement(), 1..8u8), 1..40),
     ) {
-        let mut entries = [Members::default(), Members::default(), Members::default()];
+        let mut entries = [
+            TargetMembership::default(),
+            TargetMembership::default(),
+            TargetMembership::default(),
+        ];
         let mut left = [BTreeSet::new(), BTreeSet::new(), BTreeSet::new()];
         for (announcement, receivers) in &deliveries {
             for (at, entry) in entries.iter_mut().enumerate() {
@@ -345,7 +365,7 @@
                     continue;
                 }
                 entry.announce(START, announcement.clone());
-                if announcement.state == State::Leaving {
+                if announcement.state == AnnouncedState::Leaving {
                     left[at].insert((announcement.target.to_string(), announcement.incarnation));
                 }
                 for (target, seen) in current_view(entry) {
@@ -370,9 +390,9 @@
 /// announcements, and against successful requests that renew a lease or revert a departure.
 #[test]
 fn successful_requests_keep_a_stale_target_without_renewing_its_lease() {
-    let mut members = Members::default();
+    let mut members = TargetMembership::default();
     let partitioned = ready("a", 1, 0);
-    let record = |members: &mut Members, now, incarnation| {
+    let record = |members: &mut TargetMembership, now, incarnation| {
         members.record_success(
             now,
             &partitioned.service,
