--- a/crates/auburnbridge/src/commands/gateway.rs
+++ b/crates/auburnbridge/src/commands/gateway.rs
@@ -7,7 +7,7 @@
 use argh::FromArgs;
 use async_std::task;
 use auburnbridge_gateway::{GatewayOptions, RunningGateway};
-use auburnbridge_policy::balance::SendBudgetOptions;
+use auburnbridge_policy::balance::ResendBudgetOptions;
 use auburnbridge_settings::{GatewaySettings, Settings};
 use auburnbridge_utility::UtilityDialect;
 use log::info;
@@ -45,7 +45,7 @@
         body_memory: settings.body_memory,
         connections_per_target: settings.connections_per_target as usize,
         floor_share: settings.floor_share.0,
-        sends: SendBudgetOptions {
+        sends: ResendBudgetOptions {
             ratio: settings.resend_share.0,
             allowance: f64::from(settings.resend_allowance),
             window: settings.resend_window,
--- a/crates/auburnbridge_capacity/src/choice.rs
+++ b/crates/auburnbridge_capacity/src/choice.rs
@@ -42,7 +42,7 @@
         report.record(CHOOSE, targets, choose / 1e3);
         let place = nanos_each(|| {
             fleet.reconcile(START, &members);
-            fleet.decide(START)
+            fleet.tick(START)
         });
         report.record(PLACE, targets, place / 1e3);
     }
--- a/crates/auburnbridge_entry/src/admission.rs
+++ b/crates/auburnbridge_entry/src/admission.rs
@@ -8,7 +8,7 @@
 
 use async_channel::{Receiver, Sender};
 use auburnbridge_policy::{
-    AdmissionPolicy, AdmissionQueue, Ended, Next, Rejected, RequestClass, Waiting,
+    AdmissionPolicy, AdmissionQueue, Completion, Dequeued, QueuedRequest, Rejected, RequestClass,
 };
 use auburnbridge_types::{Clock, Millis, Slots, Timestamp};
 use futures_lite::FutureExt;
@@ -68,13 +68,13 @@
         deadline: Timestamp,
     ) -> Result<Permit, NotAdmitted> {
         let (tx, rx) = async_channel::bounded(1);
-        let waiting = Waiting {
+        let request = QueuedRequest {
             class,
             deadline,
             item: tx,
         };
-        let offered = self.queue.lock().offer(self.clock.now(), waiting);
-        if let Err(Rejected { retry_after, .. }) = offered {
+        let enqueued = self.queue.lock().try_enqueue(self.clock.now(), request);
+        if let Err(Rejected { retry_after, .. }) = enqueued {
             return Err(NotAdmitted { retry_after });
         }
         self.start_next();
@@ -100,22 +100,22 @@
         let mut admitted = Vec::new();
         {
             let mut queue = self.queue.lock();
-            while let Some(next) = queue.next(now) {
-                match next {
-                    Next::Start(waiting) => admitted.push(waiting),
+            while let Some(dequeued) = queue.next(now) {
+                match dequeued {
+                    Dequeued::Start(request) => admitted.push(request),
                     // Dropping the sender ends the wait of the request.
-                    Next::Expired(_) => {}
+                    Dequeued::Expired(_) => {}
                 }
             }
         }
-        for waiting in admitted {
+        for request in admitted {
             let permit = Permit {
                 admission: Arc::clone(self),
-                class: waiting.class,
+                class: request.class,
                 answer_ms: AtomicU64::new(NO_ANSWER),
             };
             // If the request no longer waits, the permit is dropped, which admits the next request.
-            let _ = waiting.item.try_send(permit);
+            let _ = request.item.try_send(permit);
         }
     }
 }
@@ -129,11 +129,11 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        let ended = match self.answer_ms.load(Ordering::Relaxed) {
-            NO_ANSWER => Ended::Other,
-            time => Ended::Answered(Millis(time)),
+        let completion = match self.answer_ms.load(Ordering::Relaxed) {
+            NO_ANSWER => Completion::Other,
+            time => Completion::Answered(Millis(time)),
         };
-        self.admission.queue.lock().finish(self.class, ended);
+        self.admission.queue.lock().finish(self.class, completion);
         self.admission.start_next();
     }
 }
--- a/crates/auburnbridge_entry/src/attempt.rs
+++ b/crates/auburnbridge_entry/src/attempt.rs
@@ -186,7 +186,7 @@
                 reason: Unknown::Deadline,
                 ..
             } => Observation::TimedOut,
-            Self::Unknown { .. } => Observation::AnswerBroken,
+            Self::Unknown { .. } => Observation::InvalidAnswer,
         }
     }
 }
--- a/crates/auburnbridge_entry/src/fleets.rs
+++ b/crates/auburnbridge_entry/src/fleets.rs
@@ -228,21 +228,21 @@
         };
         let mut state = fleet.state.lock();
         let mut decisions = state.fleet.reconcile(now, members);
-        decisions.extend(state.fleet.decide(now));
-        let slots = state.fleet.in_use();
+        decisions.extend(state.fleet.tick(now));
+        let slots = state.fleet.slots_in_use();
         drop(state);
         fleet.admission.set_slots(slots);
         fleet.record_decisions(&decisions);
     }
 
     /// Evidence of this entry about suspected targets, to be sent to the other entries.
-    pub fn evidence(&self, now: Timestamp) -> Vec<ServiceEvidence> {
+    pub fn due_reports(&self, now: Timestamp) -> Vec<ServiceEvidence> {
         let services: Vec<Arc<ServiceFleet>> = self.services.read().values().cloned().collect();
         services
             .iter()
             .map(|service| ServiceEvidence {
                 service: service.name.clone(),
-                reports: service.state.lock().fleet.evidence(now),
+                reports: service.state.lock().fleet.due_reports(now),
             })
             .filter(|evidence| !evidence.reports.is_empty())
             .collect()
--- a/crates/auburnbridge_entry/src/run.rs
+++ b/crates/auburnbridge_entry/src/run.rs
@@ -276,7 +276,7 @@
         });
         self.spawn_every(FLEET_UPDATE_INTERVAL, Self::update_fleets);
         self.spawn_every(EVIDENCE_INTERVAL, |shared| {
-            let evidence = shared.entry.fleets().evidence(shared.clock.now());
+            let evidence = shared.entry.fleets().due_reports(shared.clock.now());
             shared.neighbours.send_evidence(evidence);
         });
         let shared = Arc::clone(self);
--- a/crates/auburnbridge_gateway/src/exchange.rs
+++ b/crates/auburnbridge_gateway/src/exchange.rs
@@ -155,7 +155,7 @@
                         task::spawn(check);
                     }
                 }
-                let finding = (!reason.is_local()).then(|| Finding::of_break(time));
+                let finding = (!reason.is_local()).then(|| Finding::from_closed_connection(time));
                 (Outcome::MayHaveRun(Failure::Broken), finding)
             }
         }
--- a/crates/auburnbridge_gateway/src/forward.rs
+++ b/crates/auburnbridge_gateway/src/forward.rs
@@ -5,7 +5,7 @@
 use auburnbridge_caller::Disconnect;
 use auburnbridge_http::Response;
 use auburnbridge_policy::RequestClass;
-use auburnbridge_policy::balance::{BalancedKey, Need, Refusal};
+use auburnbridge_policy::balance::{BalancedKey, PlacementRequest, Refusal};
 use auburnbridge_telemetry::RequestLabels;
 use auburnbridge_types::Millis;
 use futures_lite::FutureExt;
@@ -56,8 +56,8 @@
     /// Serves the request. If the caller disconnects, the request is cancelled at the target as well.
     pub(crate) async fn run(mut self) -> Response {
         let (exchanger, disconnect) = (self.exchanger, self.disconnect);
-        let rank = exchanger.incoming.route.priority.0;
-        exchanger.dispatcher.record_request(rank);
+        let priority = exchanger.incoming.route.priority.0;
+        exchanger.dispatcher.record_request(priority);
         let disconnected = async {
             disconnect.wait().await;
             None
@@ -73,7 +73,7 @@
         let dispatcher = self.exchanger.dispatcher;
         let mut last_error = None;
         loop {
-            let assignment = match dispatcher.acquire(self.need()).await {
+            let assignment = match dispatcher.acquire(self.placement_request()).await {
                 Ok(assignment) => assignment,
                 Err(refusal) => return self.give_up(last_error, Some(refusal)),
             };
@@ -107,7 +107,7 @@
             .incoming
             .objective
             .since(exchanger.gateway.clock.now());
-        let hedge_delay = exchanger.dispatcher.answer_times().second_send_after(left);
+        let hedge_delay = exchanger.dispatcher.answer_times().hedge_delay(left);
         let mut first = Box::pin(exchanger.send(assignment));
         let delay = exchanger.gateway.clock.sleep(hedge_delay);
         let responded = async { Some((&mut first).await) };
@@ -144,7 +144,7 @@
         if !is_allowed {
             return None;
         }
-        let hedge = dispatcher.try_acquire(&self.need())?;
+        let hedge = dispatcher.try_acquire(&self.placement_request())?;
         dispatcher.try_take_resend().then_some(hedge)
     }
 
@@ -157,11 +157,11 @@
         result.outcome
     }
 
-    fn need(&self) -> Need<'_> {
+    fn placement_request(&self) -> PlacementRequest<'_> {
         let incoming = self.exchanger.incoming;
-        Need {
+        PlacementRequest {
             class: incoming.route.class,
-            rank: incoming.route.priority.0,
+            priority: incoming.route.priority.0,
             deadline: incoming.deadline,
             objective: incoming.objective,
             tried: &self.tried,
--- a/crates/auburnbridge_gateway/src/neighbours.rs
+++ b/crates/auburnbridge_gateway/src/neighbours.rs
@@ -8,7 +8,7 @@
 use auburnbridge_messages::GatewayLocation;
 use auburnbridge_peer::codec;
 use auburnbridge_policy::CrashReport;
-use auburnbridge_policy::balance::{GatewayPlace, LoadReport, ReportedFinding};
+use auburnbridge_policy::balance::{GatewayHost, LoadReport, ReportedFinding};
 use auburnbridge_types::{ByteSize, DataCentre, Millis, VmId};
 use futures_lite::FutureExt;
 use log::{debug, warn};
@@ -79,11 +79,11 @@
     }
 
     /// Replaces the set of running gateways, and returns all of them but this one.
-    pub fn set_gateways(&self, mut gateways: Vec<GatewayLocation>) -> Vec<GatewayPlace> {
+    pub fn set_gateways(&self, mut gateways: Vec<GatewayLocation>) -> Vec<GatewayHost> {
         gateways.retain(|gateway| gateway.vm != self.vm);
         let places = gateways
             .iter()
-            .map(|gateway| GatewayPlace {
+            .map(|gateway| GatewayHost {
                 vm: gateway.vm.clone(),
                 data_centre: gateway.data_centre.clone(),
             })
--- a/crates/auburnbridge_gateway/src/run.rs
+++ b/crates/auburnbridge_gateway/src/run.rs
@@ -15,7 +15,7 @@
 use auburnbridge_peer::plain::PlainTransport;
 use auburnbridge_peer::{Options, PeerIdentity, Role, Transport};
 use auburnbridge_policy::balance::{
-    BalancerOptions, DispatcherOptions, GatewayPlace, SendBudgetOptions,
+    BalancerOptions, DispatcherOptions, GatewayHost, ResendBudgetOptions,
 };
 use auburnbridge_routing::Dialect;
 use auburnbridge_target::Pool;
@@ -82,7 +82,7 @@
     /// Share of the targets that receive requests even if they are suspected to be failing.
     pub floor_share: f64,
     /// Budget for retries and hedged requests, that is, for sends beyond the first one of a request.
-    pub sends: SendBudgetOptions,
+    pub sends: ResendBudgetOptions,
     /// Address on which metrics are served; `None` serves none.
     pub metrics_address: Option<SocketAddr>,
 }
@@ -198,14 +198,14 @@
 fn build_gateway(options: &GatewayOptions, clock: &Arc<dyn Clock>) -> Gateway {
     let dispatcher_options = DispatcherOptions {
         balancer: BalancerOptions {
-            own: GatewayPlace {
+            own: GatewayHost {
                 vm: options.vm.clone(),
                 data_centre: options.data_centre.clone(),
             },
             floor_share: options.floor_share,
             seed: rand::random(),
         },
-        sends: options.sends,
+        resend_budget: options.sends,
         seed: rand::random(),
     };
     let pool = Pool::builder(Arc::clone(clock))
--- a/crates/auburnbridge_gateway/src/service_dispatcher.rs
+++ b/crates/auburnbridge_gateway/src/service_dispatcher.rs
@@ -8,8 +8,8 @@
 
 use async_channel::Sender;
 use auburnbridge_policy::balance::{
-    AnswerTimes, BalancedKey, BalancedMember, Dispatcher, DispatcherOptions, Finding, GatewayPlace,
-    LoadReport, Need, Pick, Placement, Refusal, ReportedFinding, WaitingKey,
+    AnswerTimes, BalancedKey, BalancedMember, Dispatcher, DispatcherOptions, Finding, GatewayHost,
+    LoadReport, Pick, Placement, PlacementRequest, Refusal, ReportedFinding, WaitingKey,
 };
 use auburnbridge_types::{Clock, Millis, ServiceName, TargetId, VmId};
 use futures_lite::FutureExt;
@@ -73,7 +73,7 @@
 
 impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        self.dispatcher.inner.lock().leave(self.key);
+        self.dispatcher.inner.lock().cancel(self.key);
     }
 }
 
@@ -100,25 +100,25 @@
     }
 
     /// Replaces the set of other gateways.
-    pub fn set_gateways(&self, others: &[GatewayPlace]) {
+    pub fn set_gateways(&self, others: &[GatewayHost]) {
         self.inner.lock().set_gateways(others);
     }
 
     /// Counts the arrival of a request with this priority rank.
-    pub(crate) fn record_request(&self, rank: u32) {
+    pub(crate) fn record_request(&self, priority: u32) {
         let now = self.clock.now();
-        self.inner.lock().record_request(now, rank);
+        self.inner.lock().record_request(now, priority);
     }
 
     /// Consumes one retry or hedged request from the send budget; `false` if the budget is used up.
     pub(crate) fn try_take_resend(&self) -> bool {
         let now = self.clock.now();
-        self.inner.lock().try_send_again(now)
+        self.inner.lock().try_resend(now)
     }
 
     /// Adds a response time to the service's average and classifies the response.
     pub(crate) fn record_response_time(&self, time: Millis, was_silent: bool) -> Finding {
-        self.inner.lock().judge_answer(time, was_silent)
+        self.inner.lock().record_answer(time, was_silent)
     }
 
     /// Average response time of the service, and the timeouts derived from it.
@@ -127,9 +127,9 @@
     }
 
     /// The refusal for a request of this rank, which states when to retry.
-    pub(crate) fn refusal(&self, rank: u32) -> Refusal {
+    pub(crate) fn refusal(&self, priority: u32) -> Refusal {
         let now = self.clock.now();
-        self.inner.lock().refusal(now, rank)
+        self.inner.lock().refusal(now, priority)
     }
 
     /// Waits for a target. Dropping the future removes the request from the queue.
@@ -137,14 +137,17 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`] if no target can serve the request in time.
-    pub(crate) async fn acquire(self: &Arc<Self>, need: Need<'_>) -> Result<Assignment, Refusal> {
+    pub(crate) async fn acquire(
+        self: &Arc<Self>,
+        request: PlacementRequest<'_>,
+    ) -> Result<Assignment, Refusal> {
         let (tx, rx) = async_channel::bounded(1);
         let now = self.clock.now();
-        let placement = self.inner.lock().place(now, &need, || tx);
-        let (key, longest) = match placement {
+        let placement = self.inner.lock().place(now, &request, || tx);
+        let (key, max_wait) = match placement {
             Placement::Start(pick) => return Ok(self.assignment(pick)),
             Placement::Refuse(refusal) => return Err(refusal),
-            Placement::Wait { key, longest } => (key, longest),
+            Placement::Wait { key, max_wait } => (key, max_wait),
         };
         let guard = QueueGuard {
             dispatcher: self,
@@ -152,7 +155,7 @@
         };
         let assigned = async { rx.recv().await.ok() };
         let timed_out = async {
-            self.clock.sleep(longest).await;
+            self.clock.sleep(max_wait).await;
             None
         };
         if let Some(assignment) = assigned.or(timed_out).await {
@@ -160,13 +163,16 @@
         }
         drop(guard);
         // A target may have been assigned between the timeout and the removal from the queue.
-        rx.try_recv().map_err(|_| self.refusal(need.rank))
+        rx.try_recv().map_err(|_| self.refusal(request.priority))
     }
 
     /// Picks a target that has a free slot right now, without waiting.
-    pub(crate) fn try_acquire(self: &Arc<Self>, need: &Need<'_>) -> Option<Assignment> {
+    pub(crate) fn try_acquire(
+        self: &Arc<Self>,
+        request: &PlacementRequest<'_>,
+    ) -> Option<Assignment> {
         let now = self.clock.now();
-        let pick = self.inner.lock().pick_free(now, need)?;
+        let pick = self.inner.lock().pick_hedge(now, request)?;
         Some(self.assignment(pick))
     }
 
@@ -206,13 +212,13 @@
     /// Applies findings of another gateway.
     pub fn apply_findings(&self, findings: &[ReportedFinding]) {
         let now = self.clock.now();
-        self.inner.lock().hear_findings(now, findings);
+        self.inner.lock().apply_findings(now, findings);
     }
 
     /// Applies another gateway's report of its in-flight requests.
     pub fn apply_load_report(self: &Arc<Self>, from: &VmId, report: LoadReport) {
         let now = self.clock.now();
-        self.inner.lock().hear_load(now, from, report);
+        self.inner.lock().apply_load_report(now, from, report);
         self.start_waiting();
     }
 
--- a/crates/auburnbridge_gateway/src/service_table.rs
+++ b/crates/auburnbridge_gateway/src/service_table.rs
@@ -6,7 +6,7 @@
 
 use auburnbridge_membership::{AnnouncedState, Announcement, TargetMembership};
 use auburnbridge_policy::balance::{
-    BalancedMember, DispatcherOptions, GatewayPlace, LoadReport, ReportedFinding,
+    BalancedMember, DispatcherOptions, GatewayHost, LoadReport, ReportedFinding,
 };
 use auburnbridge_routing::RouteSet;
 use auburnbridge_types::{Clock, Incarnation, ServiceName, VmId};
@@ -21,7 +21,7 @@
     clock: Arc<dyn Clock>,
     options: DispatcherOptions,
     members: Mutex<TargetMembership>,
-    other_gateways: Mutex<Vec<GatewayPlace>>,
+    other_gateways: Mutex<Vec<GatewayHost>>,
     dispatchers: RwLock<HashMap<ServiceName, Arc<ServiceDispatcher>>>,
 }
 
@@ -84,7 +84,7 @@
     }
 
     /// Replaces the set of other gateways.
-    pub fn set_gateways(&self, others: Vec<GatewayPlace>) {
+    pub fn set_gateways(&self, others: Vec<GatewayHost>) {
         let mut current = self.other_gateways.lock();
         if *current == others {
             return;
--- a/crates/auburnbridge_gateway/tests/forwarding/targets.rs
+++ b/crates/auburnbridge_gateway/tests/forwarding/targets.rs
@@ -13,7 +13,7 @@
 use auburnbridge_membership::{AnnouncedState, Announcement};
 use auburnbridge_policy::RequestClass;
 use auburnbridge_policy::balance::{
-    BalancerOptions, DispatcherOptions, GatewayPlace, SendBudgetOptions,
+    BalancerOptions, DispatcherOptions, GatewayHost, ResendBudgetOptions,
 };
 use auburnbridge_routing::{
     CallError, CallerLimits, ControlCall, Destination, Dialect, DocumentError, HeaderNames,
@@ -188,14 +188,14 @@
     let clock: Arc<dyn Clock> = Arc::new(RuntimeClock);
     let options = DispatcherOptions {
         balancer: BalancerOptions {
-            own: GatewayPlace {
+            own: GatewayHost {
                 vm: "gateway-1".parse().unwrap(),
                 data_centre: "north".parse().unwrap(),
             },
             floor_share: 0.7,
             seed: 1,
         },
-        sends: SendBudgetOptions {
+        resend_budget: ResendBudgetOptions {
             ratio: 0.2,
             allowance: 60.0,
             window: Millis(10_000),
--- a/crates/auburnbridge_policy/examples/admission/simulation.rs
+++ b/crates/auburnbridge_policy/examples/admission/simulation.rs
@@ -5,8 +5,8 @@
 use std::collections::BinaryHeap;
 
 use auburnbridge_policy::{
-    AdmissionPolicy, AdmissionQueue, Ended, Fleet, Member, Next, Observation, Presence,
-    RequestClass, Reservation, ServicePolicy, TargetKey, Waiting,
+    AdmissionPolicy, AdmissionQueue, Completion, Dequeued, Fleet, Member, Observation, Presence,
+    QueuedRequest, RequestClass, Reservation, ServicePolicy, TargetKey,
 };
 use auburnbridge_types::{Incarnation, Millis, Slots, Timestamp};
 use rand::{Rng, SeedableRng};
@@ -215,13 +215,13 @@
             self.send(entry, request);
             return;
         }
-        let waiting = Waiting {
+        let queued = QueuedRequest {
             class: request.class,
             deadline: timestamp(deadline_us(request)),
             item: request,
         };
         let now = self.now();
-        if let Err(rejected) = self.entries[entry].queue.offer(now, waiting) {
+        if let Err(rejected) = self.entries[entry].queue.try_enqueue(now, queued) {
             self.record_unserved(rejected.request.item);
         }
         self.start_queued(entry);
@@ -247,8 +247,8 @@
                 return;
             }
             match self.entries[entry].queue.next(now) {
-                Some(Next::Start(waiting)) => self.send(entry, waiting.item),
-                Some(Next::Expired(waiting)) => self.record_unserved(waiting.item),
+                Some(Dequeued::Start(queued)) => self.send(entry, queued.item),
+                Some(Dequeued::Expired(queued)) => self.record_unserved(queued.item),
                 None => return,
             }
         }
@@ -298,22 +298,22 @@
         let now = self.now();
         let request = exchange.request;
         let entry = &mut self.entries[exchange.entry];
-        let (observation, ended) = match exchange.service_us {
+        let (observation, completion) = match exchange.service_us {
             Some(time) => {
                 let time = Millis(time / 1_000);
-                (Observation::Answered(time), Ended::Answered(time))
+                (Observation::Answered(time), Completion::Answered(time))
             }
             None if self.scenario.sharing == Sharing::TwoChoices => {
-                (Observation::NotAttributable, Ended::Shed)
+                (Observation::NotAttributable, Completion::Shed)
             }
-            None => (Observation::Shed, Ended::Shed),
+            None => (Observation::Shed, Completion::Shed),
         };
         if self.scenario.sharing == Sharing::Leases {
             entry.leased.push(exchange.target);
         } else {
             entry.fleet.finish(now, exchange.key, observation);
         }
-        entry.queue.finish(request.class, ended);
+        entry.queue.finish(request.class, completion);
         if let Some(time) = exchange.service_us {
             self.running[exchange.target] -= 1;
             self.record_answer(request, time);
@@ -326,7 +326,7 @@
 
     fn retry_shed(&mut self, entry: usize, request: Request) {
         if let Sharing::Queue(_) = self.scenario.sharing {
-            self.entries[entry].queue.requeue(Waiting {
+            self.entries[entry].queue.requeue(QueuedRequest {
                 class: request.class,
                 deadline: timestamp(deadline_us(request)),
                 item: request,
--- a/crates/auburnbridge_policy/examples/decision_cost.rs
+++ b/crates/auburnbridge_policy/examples/decision_cost.rs
@@ -48,7 +48,7 @@
     let mut deciding = fleet(3, 5);
     println!(
         "decide: {} ns",
-        measure(|| drop(black_box(deciding.decide(START))))
+        measure(|| drop(black_box(deciding.tick(START))))
     );
     let mut merging = fleet(3, 0);
     let from = "entry".parse().expect("the name is valid");
@@ -76,7 +76,7 @@
     for _ in 0..suspects {
         let choice = fleet.choose(START, RequestClass::Idempotent, &[], &mut rng);
         let key = choice.expect("targets are in use").key;
-        fleet.finish(START, key, Observation::AnswerBroken);
+        fleet.finish(START, key, Observation::InvalidAnswer);
     }
     for _ in 0..TARGETS * in_flight {
         fleet.choose(START, RequestClass::Idempotent, &[], &mut rng);
--- a/crates/auburnbridge_policy/examples/dispatch_cost.rs
+++ b/crates/auburnbridge_policy/examples/dispatch_cost.rs
@@ -15,8 +15,9 @@
 
 use auburnbridge_policy::RequestClass;
 use auburnbridge_policy::balance::{
-    BalancedMember, BalancerOptions, Dispatcher, DispatcherOptions, Finding, GatewayPlace,
-    LoadReport, Need, Placement, ReportedFinding, SendBudgetOptions, TargetHash, TargetLoad,
+    BalancedMember, BalancerOptions, Dispatcher, DispatcherOptions, Finding, GatewayHost,
+    LoadReport, Placement, PlacementRequest, ReportedFinding, ResendBudgetOptions, TargetHash,
+    TargetLoad,
 };
 use auburnbridge_types::{Incarnation, Millis, Slots, Timestamp, VmId};
 
@@ -35,21 +36,21 @@
         let reports: Vec<LoadReport> = (0..64).map(|offset| report(targets, offset)).collect();
         let apply = measure(|call| {
             let report = reports[call % reports.len()].clone();
-            dispatcher.hear_load(START, &reporters[call % reporters.len()], report);
+            dispatcher.apply_load_report(START, &reporters[call % reporters.len()], report);
         });
         println!("  apply a report of requests in flight: {apply}");
     }
 }
 
 fn place_and_finish(dispatcher: &mut Dispatcher<()>) {
-    let need = Need {
+    let request = PlacementRequest {
         class: RequestClass::Once,
-        rank: 1,
+        priority: 1,
         deadline: START.after(Millis(1_500)),
         objective: START.after(Millis(800)),
         tried: &[],
     };
-    match black_box(dispatcher.place(START, &need, || ())) {
+    match black_box(dispatcher.place(START, &request, || ())) {
         Placement::Start(pick) => dispatcher.finish(START, pick.key, Some(Finding::Answered)),
         other => panic!("a slot is free, but the request got {other:?}"),
     }
@@ -58,11 +59,11 @@
 fn dispatcher(targets: usize, gateways: usize) -> Dispatcher<()> {
     let mut dispatcher = Dispatcher::new(&DispatcherOptions {
         balancer: BalancerOptions {
-            own: place(0),
+            own: gateway_host(0),
             floor_share: 0.7,
             seed: 1,
         },
-        sends: SendBudgetOptions {
+        resend_budget: ResendBudgetOptions {
             ratio: 0.2,
             allowance: 60.0,
             window: Millis(10_000),
@@ -71,7 +72,7 @@
     });
     let members: Vec<BalancedMember> = (0..targets).map(member).collect();
     dispatcher.set_members(START, &members);
-    let others: Vec<GatewayPlace> = (1..gateways).map(place).collect();
+    let others: Vec<GatewayHost> = (1..gateways).map(gateway_host).collect();
     dispatcher.set_gateways(&others);
     let findings: Vec<ReportedFinding> = (0..targets)
         .step_by(10)
@@ -80,15 +81,15 @@
             finding: Finding::Broken,
         })
         .collect();
-    dispatcher.hear_findings(START, &findings);
+    dispatcher.apply_findings(START, &findings);
     for other in 1..gateways {
-        dispatcher.hear_load(START, &vm(other), report(targets, other));
+        dispatcher.apply_load_report(START, &vm(other), report(targets, other));
     }
     dispatcher
 }
 
-fn place(gateway: usize) -> GatewayPlace {
-    GatewayPlace {
+fn gateway_host(gateway: usize) -> GatewayHost {
+    GatewayHost {
         vm: vm(gateway),
         data_centre: "east".parse().expect("the name is valid"),
     }
--- a/crates/auburnbridge_policy/examples/ejection_curve/fault.rs
+++ b/crates/auburnbridge_policy/examples/ejection_curve/fault.rs
@@ -101,7 +101,7 @@
     let (after_us, observation) = if draw < HEALTHY_FAILURE_RATE / 2.0 {
         (service_us, Observation::ServerError)
     } else if draw < HEALTHY_FAILURE_RATE * 0.75 {
-        (service_us, Observation::AnswerBroken)
+        (service_us, Observation::InvalidAnswer)
     } else if draw < HEALTHY_FAILURE_RATE {
         (REFUSED_CONNECTION_US, Observation::ConnectFailed)
     } else {
@@ -122,7 +122,7 @@
     rng: &mut ChaCha8Rng,
 ) -> ExchangeEnd {
     let broken = ExchangeEnd {
-        observation: Observation::AnswerBroken,
+        observation: Observation::InvalidAnswer,
         ..end
     };
     let never = ExchangeEnd {
--- a/crates/auburnbridge_policy/examples/ejection_curve/selector.rs
+++ b/crates/auburnbridge_policy/examples/ejection_curve/selector.rs
@@ -109,17 +109,17 @@
     }
 
     /// Makes the time-dependent decisions; returns the ejections that result.
-    pub fn decide(&mut self, now: Timestamp) -> Vec<Ejection> {
+    pub fn tick(&mut self, now: Timestamp) -> Vec<Ejection> {
         match self {
-            Self::Fleet(fleet) => ejections(&fleet.decide(now)),
+            Self::Fleet(fleet) => ejections(&fleet.tick(now)),
             Self::Baseline(_) => Vec::new(),
         }
     }
 
     /// Returns the reports that are due for the other entries.
-    pub fn evidence(&mut self, now: Timestamp) -> Vec<EvidenceReport> {
+    pub fn due_reports(&mut self, now: Timestamp) -> Vec<EvidenceReport> {
         match self {
-            Self::Fleet(fleet) => fleet.evidence(now),
+            Self::Fleet(fleet) => fleet.due_reports(now),
             Self::Baseline(_) => Vec::new(),
         }
     }
@@ -145,9 +145,9 @@
     }
 
     /// Total slots of the targets in use.
-    pub fn in_use(&self, now: Timestamp) -> Slots {
+    pub fn slots_in_use(&self, now: Timestamp) -> Slots {
         match self {
-            Self::Fleet(fleet) => fleet.in_use(),
+            Self::Fleet(fleet) => fleet.slots_in_use(),
             Self::Baseline(baseline) => {
                 let targets = baseline.targets.iter();
                 Slots(targets.filter(|t| t.ejected_until <= now).count() as u32 * baseline.slots)
--- a/crates/auburnbridge_policy/examples/ejection_curve/simulation.rs
+++ b/crates/auburnbridge_policy/examples/ejection_curve/simulation.rs
@@ -197,7 +197,7 @@
             Event::Finish(exchange) => self.finish(exchange),
             Event::Decide(entry) => {
                 let now = self.now();
-                let ejections = self.entries[entry].decide(now);
+                let ejections = self.entries[entry].tick(now);
                 self.record_ejections(entry, &ejections);
                 self.schedule(DECIDE_INTERVAL_US, event);
             }
@@ -298,7 +298,7 @@
             }
         }
         if !ejections.is_empty() || self.outcome.least_in_use == u32::MAX {
-            let in_use = self.entries[entry].in_use(self.now()).0;
+            let in_use = self.entries[entry].slots_in_use(self.now()).0;
             self.outcome.least_in_use = self.outcome.least_in_use.min(in_use);
         }
     }
@@ -314,7 +314,7 @@
     fn share_evidence(&mut self, entry: usize) {
         let now = self.now();
         let from = format!("entry{entry}").parse().expect("the name is valid");
-        let reports = self.entries[entry].evidence(now);
+        let reports = self.entries[entry].due_reports(now);
         self.outcome.reports += reports.len() as u64;
         for other in (0..ENTRIES).filter(|other| *other != entry && !reports.is_empty()) {
             let ejections = self.entries[other].merge_evidence(now, &from, &reports);
--- a/crates/auburnbridge_policy/src/admission.rs
+++ b/crates/auburnbridge_policy/src/admission.rs
@@ -65,7 +65,7 @@
 
 /// A queued request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Waiting<T> {
+pub struct QueuedRequest<T> {
     /// Class of the request.
     pub class: RequestClass,
     /// Time after which the caller no longer waits for the answer.
@@ -78,23 +78,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rejected<T> {
     /// The request.
-    pub request: Waiting<T>,
+    pub request: QueuedRequest<T>,
     /// Time after which the caller may send the request again.
     pub retry_after: Millis,
 }
 
 /// A request taken from the queue.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next<T> {
+pub enum Dequeued<T> {
     /// The request is to be sent to a target.
-    Start(Waiting<T>),
+    Start(QueuedRequest<T>),
     /// The deadline has passed or can't be met; the request did not run.
-    Expired(Waiting<T>),
+    Expired(QueuedRequest<T>),
 }
 
 /// Result of a started request, as far as it is relevant to admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum Completion {
     /// The target answered after this service time.
     Answered(Millis),
     /// The target shed the request.
@@ -107,8 +107,8 @@
 #[derive(Clone, Debug)]
 pub struct AdmissionQueue<T> {
     policy: AdmissionPolicy,
-    once: VecDeque<Waiting<T>>,
-    idempotent: VecDeque<Waiting<T>>,
+    once: VecDeque<QueuedRequest<T>>,
+    idempotent: VecDeque<QueuedRequest<T>>,
     running_once: u32,
     running_idempotent: u32,
     concurrency_limit: f64,
@@ -150,7 +150,11 @@
     }
 
     /// Queues a request, or rejects it if the queue is full or its deadline can't be met.
-    pub fn offer(&mut self, now: Timestamp, request: Waiting<T>) -> Result<(), Rejected<T>> {
+    pub fn try_enqueue(
+        &mut self,
+        now: Timestamp,
+        request: QueuedRequest<T>,
+    ) -> Result<(), Rejected<T>> {
         if request.class == RequestClass::Once {
             self.record_once_arrival(now);
         }
@@ -168,12 +172,12 @@
     }
 
     /// Returns a request that a target shed to the head of its queue.
-    pub fn requeue(&mut self, request: Waiting<T>) {
+    pub fn requeue(&mut self, request: QueuedRequest<T>) {
         self.queue_mut(request.class).push_front(request);
     }
 
     /// Takes the next request that may start or has expired; callers repeat this until it returns `None`.
-    pub fn next(&mut self, now: Timestamp) -> Option<Next<T>> {
+    pub fn next(&mut self, now: Timestamp) -> Option<Dequeued<T>> {
         // A request that can't be answered before its deadline would waste a slot.
         let earliest_end = now.after(self.service_time_bound());
         for class in [RequestClass::Once, RequestClass::Idempotent] {
@@ -182,13 +186,13 @@
                 .front()
                 .is_some_and(|request| request.deadline <= earliest_end)
             {
-                return self.queue_mut(class).pop_front().map(Next::Expired);
+                return self.queue_mut(class).pop_front().map(Dequeued::Expired);
             }
         }
         let class = self.next_class()?;
         let request = self.queue_mut(class).pop_front()?;
         self.record_start(class);
-        Some(Next::Start(request))
+        Some(Dequeued::Start(request))
     }
 
     fn next_class(&self) -> Option<RequestClass> {
@@ -276,7 +280,7 @@
     }
 
     /// Records the end of a started request.
-    pub fn finish(&mut self, class: RequestClass, ended: Ended) {
+    pub fn finish(&mut self, class: RequestClass, completion: Completion) {
         let was_at_limit =
             f64::from(self.running_once + self.running_idempotent) >= self.concurrency_limit;
         match class {
@@ -285,8 +289,8 @@
                 self.running_idempotent = self.running_idempotent.saturating_sub(1);
             }
         }
-        match ended {
-            Ended::Answered(time) => {
+        match completion {
+            Completion::Answered(time) => {
                 let time_ms = f64::from(u32::try_from(time.0).unwrap_or(u32::MAX));
                 self.record_service_time(time_ms);
                 if was_at_limit {
@@ -294,8 +298,8 @@
                     self.concurrency_limit = grown.min(self.slots);
                 }
             }
-            Ended::Shed => self.record_shed(),
-            Ended::Other => {}
+            Completion::Shed => self.record_shed(),
+            Completion::Other => {}
         }
     }
 
@@ -337,14 +341,14 @@
         self.last_once_arrival = Some(now);
     }
 
-    fn queue(&self, class: RequestClass) -> &VecDeque<Waiting<T>> {
+    fn queue(&self, class: RequestClass) -> &VecDeque<QueuedRequest<T>> {
         match class {
             RequestClass::Once => &self.once,
             RequestClass::Idempotent => &self.idempotent,
         }
     }
 
-    fn queue_mut(&mut self, class: RequestClass) -> &mut VecDeque<Waiting<T>> {
+    fn queue_mut(&mut self, class: RequestClass) -> &mut VecDeque<QueuedRequest<T>> {
         match class {
             RequestClass::Once => &mut self.once,
             RequestClass::Idempotent => &mut self.idempotent,
--- a/crates/auburnbridge_policy/src/balance/answer_times.rs
+++ b/crates/auburnbridge_policy/src/balance/answer_times.rs
@@ -71,7 +71,7 @@
     /// second target, if `left` remains until its objective. The second answer can still meet the
     /// objective, but requests are not hedged before most answers arrive, and at the latest when
     /// the first target counts as silent.
-    pub fn second_send_after(&self, left: Millis) -> Millis {
+    pub fn hedge_delay(&self, left: Millis) -> Millis {
         let average = self.average().0;
         let latest = left.0.saturating_sub(average * HEDGE_ANSWER_PERCENT / 100);
         let earliest = average * MOST_ANSWERS_PERCENT / 100;
--- a/crates/auburnbridge_policy/src/balance/balancer.rs
+++ b/crates/auburnbridge_policy/src/balance/balancer.rs
@@ -9,7 +9,7 @@
 use super::answer_times::AnswerTimes;
 use super::evidence::{Finding, Origin};
 use super::report::{LoadReport, ReportedFinding, TargetHash, TargetLoad};
-use super::subset::{GatewayPlace, gateway_subset};
+use super::subset::{GatewayHost, gateway_subset};
 use super::target::{BalancedKey, BalancedMember, BalancedTarget, WARMUP_TIME};
 
 /// Time after which a gateway's load report expires.
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct BalancerOptions {
     /// This gateway.
-    pub own: GatewayPlace,
+    pub own: GatewayHost,
     /// Share of the targets that receive requests even if they are suspected.
     pub floor_share: f64,
     /// Seed by which this gateway's trial intervals differ from those of other gateways.
@@ -66,7 +66,7 @@
 pub struct Balancer {
     pub(super) options: BalancerOptions,
     /// All gateways, this one included.
-    gateways: Vec<GatewayPlace>,
+    gateways: Vec<GatewayHost>,
     /// Whether the subset of this gateway is large enough to be preferred.
     pub(super) prefers_subset: bool,
     pub(super) targets: SlotMap<BalancedKey, BalancedTarget>,
@@ -137,7 +137,7 @@
     }
 
     /// Replaces the set of other gateways.
-    pub fn set_gateways(&mut self, others: &[GatewayPlace]) {
+    pub fn set_gateways(&mut self, others: &[GatewayHost]) {
         let mut gateways = vec![self.options.own.clone()];
         gateways.extend(others.iter().cloned());
         self.gateways = gateways;
--- a/crates/auburnbridge_policy/src/balance/dispatcher.rs
+++ b/crates/auburnbridge_policy/src/balance/dispatcher.rs
@@ -8,8 +8,8 @@
 use super::balancer::{Balancer, BalancerOptions, Pick, TargetSummary};
 use super::evidence::Finding;
 use super::report::{LoadReport, ReportedFinding};
-use super::resend_budget::{ResendBudget, SendBudgetOptions};
-use super::subset::GatewayPlace;
+use super::resend_budget::{ResendBudget, ResendBudgetOptions};
+use super::subset::GatewayHost;
 use super::target::{BalancedKey, BalancedMember};
 use super::wait_queue::{Capacity, EventRate, Refusal, WaitQueue, WaitRequest, WaitingKey};
 use crate::RequestClass;
@@ -25,18 +25,18 @@
     /// Target selection.
     pub balancer: BalancerOptions,
     /// Budget of resends.
-    pub sends: SendBudgetOptions,
+    pub resend_budget: ResendBudgetOptions,
     /// Seed of the random selection.
     pub seed: u64,
 }
 
 /// Requirements of a request that needs a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Need<'a> {
+pub struct PlacementRequest<'a> {
     /// Whether the request may run more than once.
     pub class: RequestClass,
     /// Priority among waiting requests; 0 is the highest.
-    pub rank: u32,
+    pub priority: u32,
     /// Time after which the caller no longer waits for the answer.
     pub deadline: Timestamp,
     /// Latency objective: until this time an answer has its full value.
@@ -50,12 +50,12 @@
 pub enum Placement {
     /// The request starts on this target now.
     Start(Pick),
-    /// The request waits for a free slot, at most for `longest`.
+    /// The request waits for a free slot, at most for `max_wait`.
     Wait {
-        /// Handle for [`Dispatcher::leave`].
+        /// Handle for [`Dispatcher::cancel`].
         key: WaitingKey,
         /// Time after which it can no longer be answered before its deadline.
-        longest: Millis,
+        max_wait: Millis,
     },
     /// The request can't be served in time.
     Refuse(Refusal),
@@ -89,7 +89,7 @@
         Self {
             balancer: Balancer::new(options.balancer.clone()),
             waiting: WaitQueue::default(),
-            budget: ResendBudget::new(options.sends),
+            budget: ResendBudget::new(options.resend_budget),
             rng: StdRng::seed_from_u64(options.seed),
             completions: EventRate::default(),
         }
@@ -101,7 +101,7 @@
     }
 
     /// Replaces the set of other gateways.
-    pub fn set_gateways(&mut self, others: &[GatewayPlace]) {
+    pub fn set_gateways(&mut self, others: &[GatewayHost]) {
         self.balancer.set_gateways(others);
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Takes a resend from the budget if any remains.
-    pub fn try_send_again(&mut self, now: Timestamp) -> bool {
+    pub fn try_resend(&mut self, now: Timestamp) -> bool {
         self.budget.try_resend(now, self.balancer.gateway_count())
     }
 
@@ -126,10 +126,10 @@
     pub fn place(
         &mut self,
         now: Timestamp,
-        need: &Need<'_>,
+        request: &PlacementRequest<'_>,
         item: impl FnOnce() -> T,
     ) -> Placement {
-        let allows_trial = need.class == RequestClass::Idempotent && need.tried.is_empty();
+        let allows_trial = request.class == RequestClass::Idempotent && request.tried.is_empty();
         if allows_trial
             && self.has_unreserved_resends(now)
             && let Some(pick) = self.balancer.pick_trial(now)
@@ -139,11 +139,11 @@
         let is_next = self
             .waiting
             .first()
-            .is_none_or(|(first, _)| first.priority() > need.rank);
+            .is_none_or(|(first, _)| first.priority() > request.priority);
         if is_next
             && let Some(pick) = self
                 .balancer
-                .pick(now, need.class, need.tried, &mut self.rng)
+                .pick(now, request.class, request.tried, &mut self.rng)
         {
             return Placement::Start(pick);
         }
@@ -152,29 +152,30 @@
             // Without a trusted target there is no slot worth waiting for.
             return match self
                 .balancer
-                .pick_any(now, need.class, need.tried, &mut self.rng)
+                .pick_any(now, request.class, request.tried, &mut self.rng)
             {
                 Some(pick) => Placement::Start(pick),
-                None => Placement::Refuse(self.refusal(now, need.rank)),
+                None => Placement::Refuse(self.refusal(now, request.priority)),
             };
         }
         let capacity = self.capacity(now, summary);
-        let request = WaitRequest {
-            priority: need.rank,
-            deadline: need.deadline,
-            objective: need.objective,
+        let wait_request = WaitRequest {
+            priority: request.priority,
+            deadline: request.deadline,
+            objective: request.objective,
             item: Waiter {
-                class: need.class,
-                tried: need.tried.to_vec(),
-                busy_allowed_at: now.after(busy_fallback_delay(now, need, &capacity)),
+                class: request.class,
+                tried: request.tried.to_vec(),
+                busy_allowed_at: now.after(busy_fallback_delay(now, request, &capacity)),
                 item: item(),
             },
         };
-        match self.waiting.try_enqueue(now, request, &capacity) {
+        match self.waiting.try_enqueue(now, wait_request, &capacity) {
             Ok(key) => Placement::Wait {
                 key,
-                longest: Millis(
-                    need.deadline
+                max_wait: Millis(
+                    request
+                        .deadline
                         .since(now)
                         .0
                         .saturating_sub(capacity.min_remaining().0),
@@ -185,7 +186,7 @@
     }
 
     /// Removes a waiting request; returns `false` if it has already been started.
-    pub fn leave(&mut self, key: WaitingKey) -> bool {
+    pub fn cancel(&mut self, key: WaitingKey) -> bool {
         self.waiting.remove(key).is_some()
     }
 
@@ -223,12 +224,12 @@
 
     /// Picks a target with a free slot for a hedged request, if no request waits and the budget has
     /// an unreserved resend.
-    pub fn pick_free(&mut self, now: Timestamp, need: &Need<'_>) -> Option<Pick> {
+    pub fn pick_hedge(&mut self, now: Timestamp, request: &PlacementRequest<'_>) -> Option<Pick> {
         if !self.waiting.is_empty() || !self.has_unreserved_resends(now) {
             return None;
         }
         self.balancer
-            .pick(now, need.class, need.tried, &mut self.rng)
+            .pick(now, request.class, request.tried, &mut self.rng)
     }
 
     /// Records a finding about the target of a request that is still in flight.
@@ -243,7 +244,7 @@
     }
 
     /// Adds an answer that took `time` to the average answer time and classifies it.
-    pub fn judge_answer(&mut self, time: Millis, was_silent: bool) -> Finding {
+    pub fn record_answer(&mut self, time: Millis, was_silent: bool) -> Finding {
         self.balancer.record_answer(time, was_silent)
     }
 
@@ -260,12 +261,12 @@
     }
 
     /// Records findings reported by another gateway.
-    pub fn hear_findings(&mut self, now: Timestamp, findings: &[ReportedFinding]) {
+    pub fn apply_findings(&mut self, now: Timestamp, findings: &[ReportedFinding]) {
         self.balancer.apply_findings(now, findings);
     }
 
     /// Records the requests in flight that another gateway reports.
-    pub fn hear_load(&mut self, now: Timestamp, from: &VmId, report: LoadReport) {
+    pub fn apply_load_report(&mut self, now: Timestamp, from: &VmId, report: LoadReport) {
         self.balancer.apply_load_report(now, from, report);
     }
 
@@ -302,7 +303,11 @@
 
 /// Wait for a free slot after which a busy target is the better choice: half of the time that
 /// remains for a timely answer.
-fn busy_fallback_delay(now: Timestamp, need: &Need<'_>, capacity: &Capacity) -> Millis {
-    let left = need.objective.since(now).0;
+fn busy_fallback_delay(
+    now: Timestamp,
+    request: &PlacementRequest<'_>,
+    capacity: &Capacity,
+) -> Millis {
+    let left = request.objective.since(now).0;
     Millis(left.saturating_sub(capacity.min_remaining().0) / 2)
 }
--- a/crates/auburnbridge_policy/src/balance/evidence.rs
+++ b/crates/auburnbridge_policy/src/balance/evidence.rs
@@ -106,7 +106,7 @@
 impl Finding {
     /// Classifies a connection that closed without an answer, by the time since the request was
     /// sent.
-    pub fn of_break(after: Millis) -> Self {
+    pub fn from_closed_connection(after: Millis) -> Self {
         if after < PROOF_TIME {
             Self::Broken
         } else {
--- a/crates/auburnbridge_policy/src/balance/mod.rs
+++ b/crates/auburnbridge_policy/src/balance/mod.rs
@@ -23,10 +23,10 @@
 
 pub use answer_times::AnswerTimes;
 pub use balancer::{Balancer, BalancerOptions, Pick, TargetSummary};
-pub use dispatcher::{Dispatcher, DispatcherOptions, Need, Placement};
+pub use dispatcher::{Dispatcher, DispatcherOptions, Placement, PlacementRequest};
 pub use evidence::{Finding, Origin};
 pub use report::{LoadReport, ReportedFinding, TargetHash, TargetLoad};
-pub use resend_budget::{ResendBudget, SendBudgetOptions};
-pub use subset::{GatewayPlace, gateway_subset};
+pub use resend_budget::{ResendBudget, ResendBudgetOptions};
+pub use subset::{GatewayHost, gateway_subset};
 pub use target::{BalancedKey, BalancedMember};
 pub use wait_queue::{Capacity, Refusal, WaitQueue, WaitRequest, WaitingKey};
--- a/crates/auburnbridge_policy/src/balance/resend_budget.rs
+++ b/crates/auburnbridge_policy/src/balance/resend_budget.rs
@@ -15,7 +15,7 @@
 
 /// Bounds of a [`ResendBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SendBudgetOptions {
+pub struct ResendBudgetOptions {
     /// Resends as a share of the requests in a window.
     pub ratio: f64,
     /// Additional resends allowed in a window, over all gateways.
@@ -34,13 +34,13 @@
 /// Resend budget of one service on one gateway.
 #[derive(Clone, Debug)]
 pub struct ResendBudget {
-    options: SendBudgetOptions,
+    options: ResendBudgetOptions,
     buckets: VecDeque<Bucket>,
 }
 
 impl ResendBudget {
     /// Creates the budget of a service.
-    pub fn new(options: SendBudgetOptions) -> Self {
+    pub fn new(options: ResendBudgetOptions) -> Self {
         Self {
             options,
             buckets: VecDeque::new(),
--- a/crates/auburnbridge_policy/src/balance/subset.rs
+++ b/crates/auburnbridge_policy/src/balance/subset.rs
@@ -16,9 +16,9 @@
 /// Upper bound of a subset, in percent of an equal share of the targets.
 const MAX_SHARE_PERCENT: usize = 125;
 
-/// The location of a gateway.
+/// VM and data centre of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct GatewayPlace {
+pub struct GatewayHost {
     /// VM on which it runs.
     pub vm: VmId,
     /// Data centre of the VM.
@@ -28,8 +28,8 @@
 /// Returns the targets assigned to `own`; `gateways` lists all gateways, `own` included. Targets of
 /// a data centre without a gateway are in no subset.
 pub fn gateway_subset<'a>(
-    own: &GatewayPlace,
-    gateways: &[GatewayPlace],
+    own: &GatewayHost,
+    gateways: &[GatewayHost],
     targets: impl Iterator<Item = (TargetHash, &'a DataCentre)>,
 ) -> HashSet<TargetHash> {
     let local_gateways: Vec<u64> = gateways
--- a/crates/auburnbridge_policy/src/fleet.rs
+++ b/crates/auburnbridge_policy/src/fleet.rs
@@ -396,7 +396,7 @@
 
     /// Returns the reports that are due for the other entries, about targets that this or another entry
     /// suspects, and records them as sent.
-    pub fn evidence(&mut self, now: Timestamp) -> Vec<EvidenceReport> {
+    pub fn due_reports(&mut self, now: Timestamp) -> Vec<EvidenceReport> {
         let Some(data_centre) = self.data_centre.clone() else {
             return Vec::new();
         };
@@ -514,17 +514,17 @@
 
     /// Makes the time-dependent decisions: ends of ejections, expired leases, decay of the ejection
     /// counts and requests in flight for too long.
-    pub fn decide(&mut self, now: Timestamp) -> Vec<Decision> {
+    pub fn tick(&mut self, now: Timestamp) -> Vec<Decision> {
         let mut decisions = Vec::new();
         let keys: Vec<TargetKey> = self.targets.keys().collect();
         for key in keys {
-            decisions.extend(self.decide_target(now, key));
+            decisions.extend(self.tick_target(now, key));
         }
         decisions.extend(self.restore_floor(now));
         decisions
     }
 
-    fn decide_target(&mut self, now: Timestamp, key: TargetKey) -> Vec<Decision> {
+    fn tick_target(&mut self, now: Timestamp, key: TargetKey) -> Vec<Decision> {
         let ejection_decay_time = self.policy.ejection_decay_time;
         let target = &mut self.targets[key];
         match target.state {
@@ -557,7 +557,7 @@
     /// Ejects a target if the floor allows it or a less suspicious ejected target can replace it.
     fn try_eject(&mut self, now: Timestamp, key: TargetKey, reason: Reason) -> Vec<Decision> {
         let slots = self.targets[key].member.slots;
-        if self.in_use().0.saturating_sub(slots.0) >= self.effective_floor().0 {
+        if self.slots_in_use().0.saturating_sub(slots.0) >= self.effective_floor().0 {
             self.set_ejected(now, key);
             return vec![self.decision(&self.targets[key], Action::Eject, reason)];
         }
@@ -587,7 +587,7 @@
     /// has enough slots to hold the floor in its place.
     fn find_substitute(&self, key: TargetKey) -> Option<TargetKey> {
         let suspect = &self.targets[key];
-        let remaining = self.in_use().0.saturating_sub(suspect.member.slots.0);
+        let remaining = self.slots_in_use().0.saturating_sub(suspect.member.slots.0);
         self.targets
             .iter()
             .filter(|(_, target)| !target.in_use())
@@ -619,7 +619,7 @@
     /// Reinstates the least suspicious targets until the effective floor holds.
     fn restore_floor(&mut self, now: Timestamp) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        while self.in_use() < self.effective_floor() {
+        while self.slots_in_use() < self.effective_floor() {
             let key = self
                 .targets
                 .iter()
@@ -636,7 +636,7 @@
     }
 
     /// Total slots of the targets in use.
-    pub fn in_use(&self) -> Slots {
+    pub fn slots_in_use(&self) -> Slots {
         Slots(
             self.targets
                 .values()
@@ -678,7 +678,7 @@
             reason,
             suspicion: target.health.suspicion(),
             threshold: self.policy.sensitivity.threshold(),
-            in_use: self.in_use(),
+            in_use: self.slots_in_use(),
             floor: self.policy.floor,
         }
     }
--- a/crates/auburnbridge_policy/src/health.rs
+++ b/crates/auburnbridge_policy/src/health.rs
@@ -17,7 +17,7 @@
     /// The connection was refused or couldn't be established.
     ConnectFailed,
     /// The answer was truncated or malformed.
-    AnswerBroken,
+    InvalidAnswer,
     /// No answer came before the deadline.
     TimedOut,
     /// The target shed the request, which is not a failure.
@@ -109,7 +109,7 @@
                 }
             }
             Observation::ServerError => failure * SERVER_ERROR_WEIGHT,
-            Observation::ConnectFailed | Observation::AnswerBroken | Observation::TimedOut => {
+            Observation::ConnectFailed | Observation::InvalidAnswer | Observation::TimedOut => {
                 failure
             }
         };
--- a/crates/auburnbridge_policy/src/lib.rs
+++ b/crates/auburnbridge_policy/src/lib.rs
@@ -17,7 +17,9 @@
 mod retry;
 mod target;
 
-pub use admission::{AdmissionPolicy, AdmissionQueue, Ended, Next, Rejected, Reservation, Waiting};
+pub use admission::{
+    AdmissionPolicy, AdmissionQueue, Completion, Dequeued, QueuedRequest, Rejected, Reservation,
+};
 pub use decision::{Action, Decision, Reason};
 pub use evidence::EvidenceReport;
 pub use fleet::{Choice, Fleet, TargetKey, TargetView};
--- a/crates/auburnbridge_policy/src/target.rs
+++ b/crates/auburnbridge_policy/src/target.rs
@@ -135,7 +135,7 @@
                     .min_by_key(|index| self.starts[*index].0.abs_diff(start))
                     .unwrap_or(0)
             }
-            Observation::TimedOut | Observation::AnswerBroken | Observation::ServerError => 0,
+            Observation::TimedOut | Observation::InvalidAnswer | Observation::ServerError => 0,
             Observation::ConnectFailed | Observation::Shed | Observation::NotAttributable => {
                 self.starts.len() - 1
             }
--- a/crates/auburnbridge_policy/tests/admission.rs
+++ b/crates/auburnbridge_policy/tests/admission.rs
@@ -1,7 +1,7 @@
 //! Tests of the admission queue: priority, guaranteed share, deadlines and bounds.
 
 use auburnbridge_policy::{
-    AdmissionPolicy, AdmissionQueue, Ended, Next, RequestClass, Reservation, Waiting,
+    AdmissionPolicy, AdmissionQueue, Completion, Dequeued, QueuedRequest, RequestClass, Reservation,
 };
 use auburnbridge_types::{Millis, Slots, Timestamp};
 use proptest::prelude::*;
@@ -16,8 +16,8 @@
     }
 }
 
-fn queued(class: RequestClass, item: u32) -> Waiting<u32> {
-    Waiting {
+fn queued(class: RequestClass, item: u32) -> QueuedRequest<u32> {
+    QueuedRequest {
         class,
         deadline: START.after(Millis(60_000)),
         item,
@@ -26,10 +26,10 @@
 
 fn start_all(queue: &mut AdmissionQueue<u32>) -> Vec<RequestClass> {
     let mut classes = Vec::new();
-    while let Some(next) = queue.next(START) {
-        match next {
-            Next::Start(request) => classes.push(request.class),
-            Next::Expired(request) => panic!("{request:?} expired before its deadline"),
+    while let Some(dequeued) = queue.next(START) {
+        match dequeued {
+            Dequeued::Start(request) => classes.push(request.class),
+            Dequeued::Expired(request) => panic!("{request:?} expired before its deadline"),
         }
     }
     classes
@@ -42,16 +42,18 @@
     for share in [0.1, 0.25, 0.5] {
         let mut queue = AdmissionQueue::new(policy(share), Slots(8));
         for item in 0..900 {
-            queue.offer(START, queued(RequestClass::Once, item)).ok();
+            queue
+                .try_enqueue(START, queued(RequestClass::Once, item))
+                .ok();
             let idempotent = queued(RequestClass::Idempotent, item);
-            queue.offer(START, idempotent).ok();
+            queue.try_enqueue(START, idempotent).ok();
         }
         let (mut idempotent, mut all) = (0.0, 0.0);
         while all < 400.0 {
             for class in start_all(&mut queue) {
                 all += 1.0;
                 idempotent += f64::from(u8::from(class == RequestClass::Idempotent));
-                queue.finish(class, Ended::Answered(Millis(1)));
+                queue.finish(class, Completion::Answered(Millis(1)));
             }
         }
         let measured = idempotent / all;
@@ -65,19 +67,21 @@
     let mut queue = AdmissionQueue::new(policy(0.1), Slots(4));
     for item in 0..100 {
         queue
-            .offer(START, queued(RequestClass::Idempotent, item))
+            .try_enqueue(START, queued(RequestClass::Idempotent, item))
             .unwrap();
     }
     let first = start_all(&mut queue);
     assert!(!first.is_empty(), "requests start while slots are free");
-    queue.offer(START, queued(RequestClass::Once, 0)).unwrap();
-    queue.finish(RequestClass::Idempotent, Ended::Answered(Millis(30)));
+    queue
+        .try_enqueue(START, queued(RequestClass::Once, 0))
+        .unwrap();
+    queue.finish(RequestClass::Idempotent, Completion::Answered(Millis(30)));
     assert_eq!(queue.next(START).map(class_of), Some(RequestClass::Once));
 }
 
-fn class_of(next: Next<u32>) -> RequestClass {
-    match next {
-        Next::Start(request) | Next::Expired(request) => request.class,
+fn class_of(dequeued: Dequeued<u32>) -> RequestClass {
+    match dequeued {
+        Dequeued::Start(request) | Dequeued::Expired(request) => request.class,
     }
 }
 
@@ -90,7 +94,7 @@
     for item in 0..2_000 {
         let mut request = queued(RequestClass::Idempotent, item);
         request.deadline = START.after(Millis(2_000));
-        if let Err(rejected) = queue.offer(START, request) {
+        if let Err(rejected) = queue.try_enqueue(START, request) {
             retry_delays.push(rejected.retry_after);
         }
     }
@@ -101,7 +105,7 @@
             .all(|delay| (1..=2_000).contains(&delay.0))
     );
     let late = START.after(Millis(1_999));
-    assert!(matches!(queue.next(late), Some(Next::Expired(_))));
+    assert!(matches!(queue.next(late), Some(Dequeued::Expired(_))));
 }
 
 proptest! {
@@ -110,7 +114,7 @@
     fn every_request_ends_exactly_once(steps in prop::collection::vec(0_u8..6, 1..400)) {
         let mut queue = AdmissionQueue::new(AdmissionPolicy::default(), Slots(6));
         let (mut offered, mut ended) = (0_u32, 0_u32);
-        let mut running: Vec<Waiting<u32>> = Vec::new();
+        let mut running: Vec<QueuedRequest<u32>> = Vec::new();
         let mut now = START;
         for step in steps {
             now = now.after(Millis(7));
@@ -119,25 +123,25 @@
                 0 | 1 => {
                     offered += 1;
                     let deadline = now.after(Millis(400));
-                    let request = Waiting { class, deadline, item: offered };
-                    ended += u32::from(queue.offer(now, request).is_err());
+                    let request = QueuedRequest { class, deadline, item: offered };
+                    ended += u32::from(queue.try_enqueue(now, request).is_err());
                 }
                 2 | 3 if !running.is_empty() => {
                     let request = running.remove(0);
-                    queue.finish(request.class, Ended::Answered(Millis(30)));
+                    queue.finish(request.class, Completion::Answered(Millis(30)));
                     ended += 1;
                 }
                 4 if !running.is_empty() => {
                     let request = running.remove(0);
-                    queue.finish(request.class, Ended::Shed);
+                    queue.finish(request.class, Completion::Shed);
                     queue.requeue(request);
                 }
                 _ => {}
             }
-            while let Some(next) = queue.next(now) {
-                match next {
-                    Next::Start(request) => running.push(request),
-                    Next::Expired(_) => ended += 1,
+            while let Some(dequeued) = queue.next(now) {
+                match dequeued {
+                    Dequeued::Start(request) => running.push(request),
+                    Dequeued::Expired(_) => ended += 1,
                 }
             }
             let waiting = u32::try_from(queue.waiting()).unwrap();
--- a/crates/auburnbridge_policy/tests/answer_times.rs
+++ b/crates/auburnbridge_policy/tests/answer_times.rs
@@ -46,7 +46,7 @@
         (300, 598, 600),
         (5_000, 1_197, 1_200),
     ] {
-        let after = times.second_send_after(Millis(left)).0;
+        let after = times.hedge_delay(Millis(left)).0;
         assert!((earliest..=latest).contains(&after), "{left}: {after}");
     }
 }
--- a/crates/auburnbridge_policy/tests/balance_load/main.rs
+++ b/crates/auburnbridge_policy/tests/balance_load/main.rs
@@ -59,7 +59,7 @@
         kinds: vec![
             RequestKind {
                 class: RequestClass::Idempotent,
-                rank: 2,
+                priority: 2,
                 work_ms: 170,
                 objective_ms: 800,
                 deadline_ms: 1_500,
@@ -67,7 +67,7 @@
             },
             RequestKind {
                 class: RequestClass::Once,
-                rank: 1,
+                priority: 1,
                 work_ms: 220,
                 objective_ms: 800,
                 deadline_ms: 1_500,
@@ -351,7 +351,7 @@
         kinds: vec![
             RequestKind {
                 class: RequestClass::Idempotent,
-                rank: 2,
+                priority: 2,
                 work_ms: 440,
                 objective_ms: 1_500,
                 deadline_ms: 2_500,
@@ -359,7 +359,7 @@
             },
             RequestKind {
                 class: RequestClass::Once,
-                rank: 1,
+                priority: 1,
                 work_ms: 570,
                 objective_ms: 1_500,
                 deadline_ms: 3_000,
@@ -413,7 +413,7 @@
         kinds: vec![
             RequestKind {
                 class: RequestClass::Idempotent,
-                rank: 2,
+                priority: 2,
                 work_ms: 200,
                 objective_ms: 800,
                 deadline_ms: 2_500,
@@ -421,7 +421,7 @@
             },
             RequestKind {
                 class: RequestClass::Once,
-                rank: 1,
+                priority: 1,
                 work_ms: 260,
                 objective_ms: 800,
                 deadline_ms: 3_000,
@@ -443,7 +443,7 @@
     scenario.kinds[LOOKUP].per_second = |_| 0.0;
     scenario.kinds[ORDER] = RequestKind {
         class: RequestClass::Once,
-        rank: 0,
+        priority: 0,
         work_ms: 310,
         objective_ms: 800,
         deadline_ms: 1_500,
--- a/crates/auburnbridge_policy/tests/balance_load/simulation.rs
+++ b/crates/auburnbridge_policy/tests/balance_load/simulation.rs
@@ -11,7 +11,7 @@
 use auburnbridge_policy::RequestClass;
 use auburnbridge_policy::balance::{
     BalancedKey, BalancedMember, BalancerOptions, Dispatcher, DispatcherOptions, Finding,
-    GatewayPlace, Need, Pick, Placement, SendBudgetOptions, WaitingKey,
+    GatewayHost, Pick, Placement, PlacementRequest, ResendBudgetOptions, WaitingKey,
 };
 use auburnbridge_types::{Incarnation, Millis, Slots, Timestamp, VmId};
 use rand::{Rng, SeedableRng};
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub struct RequestKind {
     pub class: RequestClass,
-    pub rank: u32,
+    pub priority: u32,
     pub work_ms: u64,
     pub objective_ms: u64,
     pub deadline_ms: u64,
@@ -181,8 +181,8 @@
     format!("dc-{number}").parse().unwrap()
 }
 
-fn gateway_place(number: usize, data_centres: usize) -> GatewayPlace {
-    GatewayPlace {
+fn gateway_host(number: usize, data_centres: usize) -> GatewayHost {
+    GatewayHost {
         vm: format!("gateway-{number}").parse().unwrap(),
         data_centre: data_centre(number % data_centres),
     }
@@ -207,21 +207,21 @@
                 slots: Slots(scenario.slots),
             })
             .collect();
-        let others = |number: usize| -> Vec<GatewayPlace> {
+        let others = |number: usize| -> Vec<GatewayHost> {
             (0..scenario.gateways)
                 .filter(|other| *other != number)
-                .map(|other| gateway_place(other, scenario.data_centres))
+                .map(|other| gateway_host(other, scenario.data_centres))
                 .collect()
         };
         let gateways = (0..scenario.gateways)
             .map(|number| {
                 let mut dispatcher = Dispatcher::new(&DispatcherOptions {
                     balancer: BalancerOptions {
-                        own: gateway_place(number, scenario.data_centres),
+                        own: gateway_host(number, scenario.data_centres),
                         floor_share: 0.7,
                         seed: scenario.seed + number as u64,
                     },
-                    sends: SendBudgetOptions {
+                    resend_budget: ResendBudgetOptions {
                         ratio: 0.2,
                         allowance: 60.0,
                         window: Millis(10_000),
@@ -293,8 +293,8 @@
         if self.is_counted(self.now) {
             self.outcome.tallies[kind].offered += 1;
         }
-        let rank = self.scenario.kinds[kind].rank;
-        self.gateways[gateway].record_request(time(self.now), rank);
+        let priority = self.scenario.kinds[kind].priority;
+        self.gateways[gateway].record_request(time(self.now), priority);
         self.requests.push(Request {
             kind,
             gateway,
@@ -313,22 +313,22 @@
         let req = &self.requests[request];
         let kind = &self.scenario.kinds[req.kind];
         let tried = req.tried.clone();
-        let need = Need {
+        let placement_request = PlacementRequest {
             class: kind.class,
-            rank: kind.rank,
+            priority: kind.priority,
             deadline: time(req.arrived + kind.deadline_ms),
             objective: time(req.arrived + kind.objective_ms),
             tried: &tried,
         };
         let gateway = &mut self.gateways[req.gateway];
-        match gateway.place(time(self.now), &need, || request) {
+        match gateway.place(time(self.now), &placement_request, || request) {
             Placement::Start(pick) => self.send(request, pick),
-            Placement::Wait { key, longest } => {
+            Placement::Wait { key, max_wait } => {
                 let req = &mut self.requests[request];
                 req.waiting_key = Some(key);
                 req.waits += 1;
                 let wait = req.waits;
-                self.schedule(longest.0, Event::Expire { request, wait });
+                self.schedule(max_wait.0, Event::Expire { request, wait });
             }
             Placement::Refuse(refusal) => self.refuse(request, refusal.retry_after),
         }
@@ -342,9 +342,9 @@
         let Some(key) = req.waiting_key.take() else {
             return;
         };
-        let (gateway, rank) = (req.gateway, self.scenario.kinds[req.kind].rank);
-        if self.gateways[gateway].leave(key) {
-            let refusal = self.gateways[gateway].refusal(time(self.now), rank);
+        let (gateway, priority) = (req.gateway, self.scenario.kinds[req.kind].priority);
+        if self.gateways[gateway].cancel(key) {
+            let refusal = self.gateways[gateway].refusal(time(self.now), priority);
             self.refuse(request, refusal.retry_after);
         }
     }
@@ -434,8 +434,10 @@
         let key = req.pick.as_ref().unwrap().key;
         let dispatcher = &mut self.gateways[gateway];
         let finding = match result {
-            SendResult::Answer => dispatcher.judge_answer(time_taken, false),
-            SendResult::Broken | SendResult::Interrupted => Finding::of_break(time_taken),
+            SendResult::Answer => dispatcher.record_answer(time_taken, false),
+            SendResult::Broken | SendResult::Interrupted => {
+                Finding::from_closed_connection(time_taken)
+            }
             SendResult::Shed => Finding::Shed,
             SendResult::Unreachable => Finding::Unreachable,
         };
@@ -474,7 +476,7 @@
             && kind.class == RequestClass::Once;
         let is_over = self.now >= req.arrived + kind.deadline_ms;
         let may_resend = req.sends == 0
-            || (req.sends < 2 && self.gateways[req.gateway].try_send_again(time(self.now)));
+            || (req.sends < 2 && self.gateways[req.gateway].try_resend(time(self.now)));
         if is_lost || is_over || !may_resend {
             self.outcome.lost_ms.push(req.arrived);
             if self.is_counted(req.arrived) {
@@ -493,7 +495,7 @@
         let now = time(self.now + ONE_WAY_DELAY_MS);
         for (number, gateway) in self.gateways.iter_mut().enumerate() {
             if number != from {
-                gateway.hear_findings(now, &findings);
+                gateway.apply_findings(now, &findings);
             }
         }
     }
@@ -507,7 +509,7 @@
         for number in 0..self.gateways.len() {
             let is_local = number % data_centres == from % data_centres;
             if number != from && (is_local || includes_remote) {
-                self.gateways[number].hear_load(now, &name, report.clone());
+                self.gateways[number].apply_load_report(now, &name, report.clone());
                 self.start_waiting(number);
             }
         }
--- a/crates/auburnbridge_policy/tests/balancer.rs
+++ b/crates/auburnbridge_policy/tests/balancer.rs
@@ -5,7 +5,7 @@
 
 use auburnbridge_policy::RequestClass;
 use auburnbridge_policy::balance::{
-    BalancedMember, Balancer, BalancerOptions, Finding, GatewayPlace, LoadReport, Pick,
+    BalancedMember, Balancer, BalancerOptions, Finding, GatewayHost, LoadReport, Pick,
     ReportedFinding, TargetHash, TargetLoad,
 };
 use auburnbridge_types::{Incarnation, Slots, Timestamp};
@@ -28,7 +28,7 @@
 
 fn balancer(members: &[BalancedMember]) -> Balancer {
     let mut balancer = Balancer::new(BalancerOptions {
-        own: GatewayPlace {
+        own: GatewayHost {
             vm: "gateway-1".parse().unwrap(),
             data_centre: "north".parse().unwrap(),
         },
@@ -232,8 +232,8 @@
 /// suspected where no gateway tries it.
 #[test]
 fn suspected_targets_are_tried_only_within_the_subset() {
-    let others: Vec<GatewayPlace> = (2..6)
-        .map(|number| GatewayPlace {
+    let others: Vec<GatewayHost> = (2..6)
+        .map(|number| GatewayHost {
             vm: format!("gateway-{number}").parse().unwrap(),
             data_centre: "north".parse().unwrap(),
         })
--- a/crates/auburnbridge_policy/tests/evidence.rs
+++ b/crates/auburnbridge_policy/tests/evidence.rs
@@ -131,7 +131,7 @@
             assert_eq!(merge(&mut fleet, now, from, &[report]), 0, "{name}");
             assert!(
                 fleet
-                    .decide(now)
+                    .tick(now)
                     .iter()
                     .all(|decision| decision.action != Action::Eject),
                 "{name}"
@@ -146,7 +146,7 @@
 fn several_suspecting_entries_eject_together() {
     for centres in [["east", "east", "east"], ["west", "north", "south"]] {
         let mut fleet = fleet("east");
-        run_request(&mut fleet, START, "t0", Observation::AnswerBroken);
+        run_request(&mut fleet, START, "t0", Observation::InvalidAnswer);
         let ejections: usize = centres
             .iter()
             .enumerate()
@@ -167,7 +167,7 @@
         let reports = [report("t0", 0.0, "east")];
         merge(&mut fleet, START, &format!("healthy{entry}"), &reports);
     }
-    run_request(&mut fleet, START, "t0", Observation::AnswerBroken);
+    run_request(&mut fleet, START, "t0", Observation::InvalidAnswer);
     for entry in 0..3 {
         let reports = [report("t0", 3.9, "east")];
         let from = format!("suspecting{entry}");
@@ -180,10 +180,10 @@
 #[test]
 fn entry_reports_only_its_own_observations() {
     let mut fleet = fleet("east");
-    assert!(fleet.evidence(START).is_empty());
+    assert!(fleet.due_reports(START).is_empty());
     merge(&mut fleet, START, "a", &[report("t1", 24.0, "east")]);
-    run_request(&mut fleet, START, "t0", Observation::AnswerBroken);
-    let reports = fleet.evidence(START);
+    run_request(&mut fleet, START, "t0", Observation::InvalidAnswer);
+    let reports = fleet.due_reports(START);
     let seen: Vec<_> = reports
         .iter()
         .map(|report| (report.target.as_str(), report.suspicion > 0.0))
@@ -193,10 +193,10 @@
         run_request(&mut fleet, START, "t0", NORMAL_ANSWER);
     }
     let later = START.after(Millis(250));
-    let withdrawn = fleet.evidence(later);
+    let withdrawn = fleet.due_reports(later);
     assert_eq!(withdrawn.len(), 1);
     assert!(withdrawn[0].suspicion <= 0.0);
-    assert!(fleet.evidence(START.after(Millis(10_000))).is_empty());
+    assert!(fleet.due_reports(START.after(Millis(10_000))).is_empty());
 }
 
 /// Guards against a silent target that gets non-idempotent requests, or stays in use, until the first
@@ -222,7 +222,7 @@
     }
     start(&mut fleet, START, "t0");
     start(&mut fleet, START, "t0");
-    let decisions = fleet.decide(START.after(Millis(900)));
+    let decisions = fleet.tick(START.after(Millis(900)));
     assert_eq!(decisions.len(), 1, "{decisions:?}");
     assert_eq!(decisions[0].action, Action::Eject);
 }
--- a/crates/auburnbridge_policy/tests/floor.rs
+++ b/crates/auburnbridge_policy/tests/floor.rs
@@ -119,7 +119,7 @@
             Event::Wait(time) => *now = now.after(Millis(time)),
         }
         self.reconcile(*now);
-        self.fleet.decide(*now);
+        self.fleet.tick(*now);
     }
 
     /// Merges reports of three other entries that suspect the target at the maximum.
--- a/crates/auburnbridge_policy/tests/resend_budget.rs
+++ b/crates/auburnbridge_policy/tests/resend_budget.rs
@@ -2,13 +2,13 @@
 
 use auburnbridge_policy::RequestClass;
 use auburnbridge_policy::balance::{
-    BalancedMember, BalancerOptions, Dispatcher, DispatcherOptions, Finding, GatewayPlace, Need,
-    Placement, ReportedFinding, ResendBudget, SendBudgetOptions, TargetHash,
+    BalancedMember, BalancerOptions, Dispatcher, DispatcherOptions, Finding, GatewayHost,
+    Placement, PlacementRequest, ReportedFinding, ResendBudget, ResendBudgetOptions, TargetHash,
 };
 use auburnbridge_types::{Incarnation, Millis, Slots, Timestamp};
 use proptest::prelude::*;
 
-const OPTIONS: SendBudgetOptions = SendBudgetOptions {
+const OPTIONS: ResendBudgetOptions = ResendBudgetOptions {
     ratio: 0.2,
     allowance: 60.0,
     window: Millis(10_000),
@@ -88,14 +88,14 @@
 fn dispatcher() -> Dispatcher<()> {
     let mut dispatcher = Dispatcher::new(&DispatcherOptions {
         balancer: BalancerOptions {
-            own: GatewayPlace {
+            own: GatewayHost {
                 vm: "gateway-1".parse().unwrap(),
                 data_centre: "north".parse().unwrap(),
             },
             floor_share: 0.7,
             seed: 1,
         },
-        sends: SendBudgetOptions {
+        resend_budget: ResendBudgetOptions {
             ratio: 0.0,
             allowance: 10.0,
             ..OPTIONS
@@ -107,20 +107,20 @@
         target: TargetHash::of(&"t-bad".parse().unwrap(), Incarnation(1)),
         finding: Finding::Broken,
     };
-    dispatcher.hear_findings(time(0), &[broken]);
+    dispatcher.apply_findings(time(0), &[broken]);
     dispatcher
 }
 
 /// The target on which an idempotent request starts.
 fn placed_target(dispatcher: &mut Dispatcher<()>, now: u64) -> String {
-    let need = Need {
+    let request = PlacementRequest {
         class: RequestClass::Idempotent,
-        rank: 1,
+        priority: 1,
         deadline: time(now + 1_500),
         objective: time(now + 800),
         tried: &[],
     };
-    match dispatcher.place(time(now), &need, || ()) {
+    match dispatcher.place(time(now), &request, || ()) {
         Placement::Start(pick) => pick.target.to_string(),
         other => panic!("a slot is free, but the request got {other:?}"),
     }
@@ -134,7 +134,7 @@
     assert_eq!(placed_target(&mut fresh, 1_500), "t-bad");
     let mut spent = dispatcher();
     for _ in 0..6 {
-        assert!(spent.try_send_again(time(1_400)));
+        assert!(spent.try_resend(time(1_400)));
     }
     assert_eq!(placed_target(&mut spent, 1_500), "t-good");
 }
@@ -143,18 +143,18 @@
 #[test]
 fn hedged_requests_leave_a_quarter_of_the_budget() {
     let mut dispatcher = dispatcher();
-    let need = Need {
+    let request = PlacementRequest {
         class: RequestClass::Idempotent,
-        rank: 1,
+        priority: 1,
         deadline: time(3_000),
         objective: time(2_300),
         tried: &[],
     };
     for _ in 0..6 {
-        let hedge = dispatcher.pick_free(time(1_500), &need).unwrap();
+        let hedge = dispatcher.pick_hedge(time(1_500), &request).unwrap();
         dispatcher.finish(time(1_500), hedge.key, None);
-        assert!(dispatcher.try_send_again(time(1_500)));
+        assert!(dispatcher.try_resend(time(1_500)));
     }
-    assert_eq!(dispatcher.pick_free(time(1_500), &need), None);
-    assert!(dispatcher.try_send_again(time(1_500)));
+    assert_eq!(dispatcher.pick_hedge(time(1_500), &request), None);
+    assert!(dispatcher.try_resend(time(1_500)));
 }
--- a/crates/auburnbridge_policy/tests/subset.rs
+++ b/crates/auburnbridge_policy/tests/subset.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use auburnbridge_policy::balance::{GatewayPlace, TargetHash, gateway_subset};
+use auburnbridge_policy::balance::{GatewayHost, TargetHash, gateway_subset};
 use auburnbridge_types::{DataCentre, Incarnation};
 
 const GATEWAYS: usize = 11;
@@ -12,9 +12,9 @@
     name.parse().unwrap()
 }
 
-fn gateways(count: usize) -> Vec<GatewayPlace> {
+fn gateways(count: usize) -> Vec<GatewayHost> {
     (0..count)
-        .map(|number| GatewayPlace {
+        .map(|number| GatewayHost {
             vm: format!("10.1.0.{}", number + 10).parse().unwrap(),
             data_centre: data_centre("north"),
         })
@@ -29,9 +29,9 @@
 
 /// The gateway to whose subset each target is assigned, as computed by every gateway.
 fn gateway_by_target(
-    gateways: &[GatewayPlace],
+    gateways: &[GatewayHost],
     targets: &[TargetHash],
-) -> HashMap<TargetHash, GatewayPlace> {
+) -> HashMap<TargetHash, GatewayHost> {
     let north = data_centre("north");
     let mut gateway_by_target = HashMap::new();
     for own in gateways {
