--- a/crates/auburnbridge/src/commands/gateway.rs
+++ b/crates/auburnbridge/src/commands/gateway.rs
@@ -45,7 +45,7 @@
         body_memory: settings.body_memory,
         connections_per_target: settings.connections_per_target as usize,
         floor_share: settings.floor_share.0,
-        sends: ResendBudgetOptions {
+        resend_budget: ResendBudgetOptions {
             ratio: settings.resend_share.0,
             allowance: f64::from(settings.resend_allowance),
             window: settings.resend_window,
--- a/crates/auburnbridge_gateway/src/exchange.rs
+++ b/crates/auburnbridge_gateway/src/exchange.rs
@@ -183,7 +183,7 @@
             }
             return (
                 Outcome::Answered(response),
-                Some(self.dispatcher.record_response_time(time, was_silent)),
+                Some(self.dispatcher.record_answer(time, was_silent)),
             );
         }
         if NOT_RUN_STATUSES.contains(&response.status) {
@@ -198,7 +198,7 @@
         }
         (
             Outcome::Answered(response),
-            Some(self.dispatcher.record_response_time(time, was_silent)),
+            Some(self.dispatcher.record_answer(time, was_silent)),
         )
     }
 
--- a/crates/auburnbridge_gateway/src/forward.rs
+++ b/crates/auburnbridge_gateway/src/forward.rs
@@ -137,15 +137,15 @@
     }
 
     /// A second target for a request that is still in flight on the first one, if a target has a free
-    /// slot and the send budget allows it.
+    /// slot and the resend budget allows it.
     fn acquire_hedge(&mut self) -> Option<Assignment> {
         let is_allowed = self.sends + 1 < self.exchanger.incoming.route.attempts;
         let dispatcher = self.exchanger.dispatcher;
         if !is_allowed {
             return None;
         }
-        let hedge = dispatcher.try_acquire(&self.placement_request())?;
-        dispatcher.try_take_resend().then_some(hedge)
+        let hedge = dispatcher.pick_hedge(&self.placement_request())?;
+        dispatcher.try_resend().then_some(hedge)
     }
 
     fn record_send(&mut self, result: SendResult) -> Outcome {
@@ -185,7 +185,7 @@
         if self.unsent > MAX_UNSENT {
             return false;
         }
-        self.sends == 0 || (self.sends < incoming.route.attempts && dispatcher.try_take_resend())
+        self.sends == 0 || (self.sends < incoming.route.attempts && dispatcher.try_resend())
     }
 
     fn deliver(&self, response: Response) -> Response {
--- a/crates/auburnbridge_gateway/src/run.rs
+++ b/crates/auburnbridge_gateway/src/run.rs
@@ -82,7 +82,7 @@
     /// Share of the targets that receive requests even if they are suspected to be failing.
     pub floor_share: f64,
     /// Budget for retries and hedged requests, that is, for sends beyond the first one of a request.
-    pub sends: ResendBudgetOptions,
+    pub resend_budget: ResendBudgetOptions,
     /// Address on which metrics are served; `None` serves none.
     pub metrics_address: Option<SocketAddr>,
 }
@@ -205,7 +205,7 @@
             floor_share: options.floor_share,
             seed: rand::random(),
         },
-        resend_budget: options.sends,
+        resend_budget: options.resend_budget,
         seed: rand::random(),
     };
     let pool = Pool::builder(Arc::clone(clock))
--- a/crates/auburnbridge_gateway/src/service_dispatcher.rs
+++ b/crates/auburnbridge_gateway/src/service_dispatcher.rs
@@ -104,20 +104,20 @@
         self.inner.lock().set_gateways(others);
     }
 
-    /// Counts the arrival of a request with this priority rank.
+    /// Counts the arrival of a request with this priority.
     pub(crate) fn record_request(&self, priority: u32) {
         let now = self.clock.now();
         self.inner.lock().record_request(now, priority);
     }
 
-    /// Consumes one retry or hedged request from the send budget; `false` if the budget is used up.
-    pub(crate) fn try_take_resend(&self) -> bool {
+    /// Consumes one retry or hedged request from the resend budget; `false` if it is used up.
+    pub(crate) fn try_resend(&self) -> bool {
         let now = self.clock.now();
         self.inner.lock().try_resend(now)
     }
 
     /// Adds a response time to the service's average and classifies the response.
-    pub(crate) fn record_response_time(&self, time: Millis, was_silent: bool) -> Finding {
+    pub(crate) fn record_answer(&self, time: Millis, was_silent: bool) -> Finding {
         self.inner.lock().record_answer(time, was_silent)
     }
 
@@ -126,7 +126,7 @@
         self.inner.lock().answer_times()
     }
 
-    /// The refusal for a request of this rank, which states when to retry.
+    /// The refusal for a request of this priority, which states when to retry.
     pub(crate) fn refusal(&self, priority: u32) -> Refusal {
         let now = self.clock.now();
         self.inner.lock().refusal(now, priority)
@@ -166,8 +166,8 @@
         rx.try_recv().map_err(|_| self.refusal(request.priority))
     }
 
-    /// Picks a target that has a free slot right now, without waiting.
-    pub(crate) fn try_acquire(
+    /// Picks a target with a free slot for a hedged request, without waiting.
+    pub(crate) fn pick_hedge(
         self: &Arc<Self>,
         request: &PlacementRequest<'_>,
     ) -> Option<Assignment> {
