--- a/crates/auburnbridge_gateway/src/forward.rs
+++ b/crates/auburnbridge_gateway/src/forward.rs
@@ -139,7 +139,7 @@
     /// A second target for a request that is still in flight on the first one, if a target has a free
     /// slot and the resend budget allows it.
     fn acquire_hedge(&mut self) -> Option<Assignment> {
-        let is_allowed = self.sends + 1 < self.exchanger.incoming.route.attempts;
+        let is_allowed = self.sends + 1 < self.exchanger.incoming.route.max_attempts;
         let dispatcher = self.exchanger.dispatcher;
         if !is_allowed {
             return None;
@@ -185,7 +185,7 @@
         if self.unsent > MAX_UNSENT {
             return false;
         }
-        self.sends == 0 || (self.sends < incoming.route.attempts && dispatcher.try_resend())
+        self.sends == 0 || (self.sends < incoming.route.max_attempts && dispatcher.try_resend())
     }
 
     fn deliver(&self, response: Response) -> Response {
--- a/crates/auburnbridge_gateway/src/gateway.rs
+++ b/crates/auburnbridge_gateway/src/gateway.rs
@@ -207,7 +207,7 @@
             digest,
             arrived,
             deadline: arrived.after(wait),
-            objective: arrived.after(route.objective.min(wait)),
+            objective: arrived.after(route.latency_objective.min(wait)),
             route,
             request,
         };
--- a/crates/auburnbridge_gateway/tests/forwarding/targets.rs
+++ b/crates/auburnbridge_gateway/tests/forwarding/targets.rs
@@ -152,9 +152,9 @@
         prefix: prefix.to_owned(),
         class,
         priority: Priority(0),
-        objective: Millis(800),
+        latency_objective: Millis(800),
         timeout: Millis(1_200),
-        attempts: 2,
+        max_attempts: 2,
         destinations: vec![Destination {
             service: "stock".parse().unwrap(),
             weight: Weight(1),
--- a/crates/auburnbridge_routing/src/route.rs
+++ b/crates/auburnbridge_routing/src/route.rs
@@ -24,11 +24,11 @@
     /// Priority among requests that wait for the same service.
     pub priority: Priority,
     /// Latency objective: the time within which a response is of full use to the caller.
-    pub objective: Millis,
+    pub latency_objective: Millis,
     /// Longest time for which a caller is kept waiting.
     pub timeout: Millis,
     /// Maximum number of targets to which one request may be sent.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Services that the requests are split among; at least one weight is above zero.
     pub destinations: Vec<Destination>,
 }
--- a/crates/auburnbridge_routing/tests/routes.rs
+++ b/crates/auburnbridge_routing/tests/routes.rs
@@ -28,9 +28,9 @@
         prefix: prefix.to_owned(),
         class: RequestClass::Idempotent,
         priority: Priority(2),
-        objective: Millis(800),
+        latency_objective: Millis(800),
         timeout: Millis(1_500),
-        attempts: 2,
+        max_attempts: 2,
         destinations,
     }
 }
