--- a/crates/auburnbridge_capacity/src/ledger.rs
+++ b/crates/auburnbridge_capacity/src/ledger.rs
@@ -12,7 +12,7 @@
 /// Above the default limits, which the largest size reaches.
 const LIMITS: Limits = Limits {
     max_records: 4_000_000,
-    max_stored: ByteSize(4 << 30),
+    max_stored_size: ByteSize(4 << 30),
 };
 
 pub const APPLY: Metric = metric("L1", "grant and conclude of one key", "µs");
--- a/crates/auburnbridge_entry/src/keyed.rs
+++ b/crates/auburnbridge_entry/src/keyed.rs
@@ -4,7 +4,7 @@
 use async_std::io::Cursor;
 use auburnbridge_caller::Problem;
 use auburnbridge_http::{Connection, Limits, RequestInfo, Response, Verdict, encode_response};
-use auburnbridge_ledger::{Command, LedgerKey, MAX_ANSWER, Reply, StoredAnswer};
+use auburnbridge_ledger::{Command, LedgerKey, MAX_ANSWER_SIZE, Reply, StoredAnswer};
 use auburnbridge_types::{AttemptId, ByteSize, ErrorKind, Millis};
 use log::info;
 
@@ -152,8 +152,8 @@
     // The encoder adds a length header, so the head can be larger than that of the target's answer.
     let limits = Limits::default()
         .with_headers(128)
-        .with_head_bytes(ByteSize(2 * MAX_ANSWER.0))
-        .with_body_bytes(MAX_ANSWER);
+        .with_head_bytes(ByteSize(2 * MAX_ANSWER_SIZE.0))
+        .with_body_bytes(MAX_ANSWER_SIZE);
     match connection.read_response(info, &limits).await {
         Ok(mut response) => {
             response.headers.set(REPLAYED_HEADER, "true");
--- a/crates/auburnbridge_ledger/src/command.rs
+++ b/crates/auburnbridge_ledger/src/command.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use strum::{Display, IntoStaticStr};
 
-use crate::MAX_ANSWER;
+use crate::MAX_ANSWER_SIZE;
 
 /// Identity of a keyed request.
 ///
@@ -31,16 +31,17 @@
 }
 
 impl StoredAnswer {
-    /// Stores `bytes` unless they exceed [`MAX_ANSWER`].
+    /// Stores `bytes` unless they exceed [`MAX_ANSWER_SIZE`].
     pub fn new(bytes: &[u8]) -> Self {
-        if bytes.len() as u64 <= MAX_ANSWER.0 {
+        if bytes.len() as u64 <= MAX_ANSWER_SIZE.0 {
             Self::Whole(bytes.into())
         } else {
             Self::NotKept
         }
     }
 
-    /// Number of bytes that count towards [`Limits::max_stored`](crate::Limits::max_stored).
+    /// Number of bytes that count towards
+    /// [`Limits::max_stored_size`](crate::Limits::max_stored_size).
     pub(crate) fn stored_bytes(&self) -> u64 {
         match self {
             Self::Whole(bytes) => bytes.len() as u64,
--- a/crates/auburnbridge_ledger/src/ledger.rs
+++ b/crates/auburnbridge_ledger/src/ledger.rs
@@ -8,7 +8,7 @@
 use crate::record::Record;
 use crate::{
     Command, DEFAULT_MAX_RECORDS, DEFAULT_MAX_STORED_SIZE, DEFAULT_RETENTION, LedgerKey,
-    MAX_ANSWER, MAX_CLOCK_SKEW, MAX_DROPS_PER_APPLY, Reply, StoredAnswer,
+    MAX_ANSWER_SIZE, MAX_CLOCK_SKEW, MAX_DROPS_PER_APPLY, Reply, StoredAnswer,
 };
 
 /// Limits on the memory of a ledger.
@@ -19,14 +19,14 @@
     /// Maximum number of records.
     pub max_records: usize,
     /// Maximum total size of the stored answers.
-    pub max_stored: ByteSize,
+    pub max_stored_size: ByteSize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             max_records: DEFAULT_MAX_RECORDS,
-            max_stored: DEFAULT_MAX_STORED_SIZE,
+            max_stored_size: DEFAULT_MAX_STORED_SIZE,
         }
     }
 }
@@ -164,7 +164,7 @@
             return Reply::NotHolder;
         }
         if self.records.len() >= self.limits.max_records
-            || self.stored_size >= self.limits.max_stored
+            || self.stored_size >= self.limits.max_stored_size
         {
             return Reply::Full;
         }
@@ -177,7 +177,8 @@
     /// Concludes a key; an answer over a limit is not stored, only the fact that the request ran.
     fn conclude(&mut self, key: &LedgerKey, attempt: AttemptId, answer: StoredAnswer) -> Reply {
         let size = answer.stored_bytes();
-        let fits = size <= MAX_ANSWER.0 && size <= self.limits.max_stored.0 - self.stored_size.0;
+        let fits =
+            size <= MAX_ANSWER_SIZE.0 && size <= self.limits.max_stored_size.0 - self.stored_size.0;
         let kept = if fits { answer } else { StoredAnswer::NotKept };
         self.update_record(key, |record| record.conclude(attempt, kept))
     }
--- a/crates/auburnbridge_ledger/src/lib.rs
+++ b/crates/auburnbridge_ledger/src/lib.rs
@@ -35,7 +35,7 @@
 pub const MAX_CLOCK_SKEW: Millis = Millis(5 * 60 * 1000);
 
 /// Largest answer that is stored.
-pub const MAX_ANSWER: ByteSize = ByteSize(64 * 1024);
+pub const MAX_ANSWER_SIZE: ByteSize = ByteSize(64 * 1024);
 
 /// Default limit on the number of records.
 pub const DEFAULT_MAX_RECORDS: usize = 1_000_000;
--- a/crates/auburnbridge_ledger/src/snapshot.rs
+++ b/crates/auburnbridge_ledger/src/snapshot.rs
@@ -85,7 +85,7 @@
             return Err(RestoreError::Malformed);
         }
         let stored_bytes = state.records.values().map(Record::stored_bytes).sum();
-        if stored_bytes > state.limits.max_stored.0 {
+        if stored_bytes > state.limits.max_stored_size.0 {
             return Err(RestoreError::Malformed);
         }
         Ok(Self {
--- a/crates/auburnbridge_ledger/tests/ledger.rs
+++ b/crates/auburnbridge_ledger/tests/ledger.rs
@@ -234,7 +234,7 @@
 fn limits_refuse_new_keys() {
     let mut ledger = Ledger::new(Limits {
         max_records: 2,
-        max_stored: ByteSize(4),
+        max_stored_size: ByteSize(4),
     });
     let (a, b) = (key(START, 1), key(START, 2));
     let holder = attempt(1, 1);
@@ -335,7 +335,7 @@
     fn key_has_at_most_one_holder(
         commands in prop::collection::vec((command(), 0..6u64, any::<bool>()), 1..200),
     ) {
-        let limits = Limits { max_records: 2, max_stored: ByteSize(3) };
+        let limits = Limits { max_records: 2, max_stored_size: ByteSize(3) };
         let (mut ledger, mut restarted) = (Ledger::new(limits), Ledger::new(limits));
         let mut observed: BTreeMap<LedgerKey, Observed> = BTreeMap::new();
         let mut now = START;
@@ -347,7 +347,7 @@
             let reply = ledger.apply(now, command.clone());
             prop_assert_eq!(&reply, &restarted.apply(now, command.clone()));
             prop_assert!(ledger.len() <= limits.max_records);
-            prop_assert!(ledger.stored_size() <= limits.max_stored);
+            prop_assert!(ledger.stored_size() <= limits.max_stored_size);
             match (command, reply) {
                 (Command::Grant { key, attempt, deadline, previous_attempts, .. }, Reply::Granted) => {
                     let seen = observed.entry(key).or_default();
