--- a/crates/auburnbridge_capacity/src/rules.rs
+++ b/crates/auburnbridge_capacity/src/rules.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use auburnbridge_config::{Change, Config, Delta, Edit, EditId, EditReply, RulesCopy};
+use auburnbridge_config::{Change, Delta, Edit, EditId, EditReply, RulesCopy, RulesState};
 use auburnbridge_messages::{Reply, Request};
 use auburnbridge_rules::{Method, Rules};
 use auburnbridge_types::{IdempotencyKey, Revision, Timestamp};
@@ -69,7 +69,7 @@
 }
 
 fn measure_changes(report: &mut Report, lines: u32, text: String) {
-    let mut config = Config::default();
+    let mut config = RulesState::default();
     apply(&mut config, 0, Change::ReplaceAll(text));
     let mut copy = RulesCopy::default();
     copy.apply_delta(&config.whole()).expect("it is valid");
@@ -105,7 +105,7 @@
 }
 
 /// Deltas of one line each, which follow on the revision of `config`.
-fn single_deltas(config: &Config, lines: u32) -> Vec<Delta> {
+fn single_deltas(config: &RulesState, lines: u32) -> Vec<Delta> {
     let mut config = config.clone();
     (1..=21)
         .map(|number| {
@@ -129,7 +129,7 @@
     }
 }
 
-fn apply(config: &mut Config, number: u32, change: Change) {
+fn apply(config: &mut RulesState, number: u32, change: Change) {
     let now = Timestamp(START.0 + u64::from(number));
     let mut random = [3; 10];
     random[..4].copy_from_slice(&number.to_be_bytes());
--- a/crates/auburnbridge_config/examples/config_cost.rs
+++ b/crates/auburnbridge_config/examples/config_cost.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-use auburnbridge_config::{Change, Config, Edit, EditReply, RulesCopy};
+use auburnbridge_config::{Change, Edit, EditReply, RulesCopy, RulesState};
 use auburnbridge_types::{IdempotencyKey, Timestamp};
 
 const LINES: usize = 86_000;
@@ -12,10 +12,10 @@
 const NOW: Timestamp = Timestamp(1_800_000_000_000);
 
 fn main() {
-    let mut config = Config::default();
+    let mut rules_state = RulesState::default();
     let mut copy = RulesCopy::default();
-    let (replace_time, ()) = timed(|| apply(&mut config, 0, Change::ReplaceAll(rules_text())));
-    let (full_delta_time, ()) = timed(|| update_copy(&config, &mut copy));
+    let (replace_time, ()) = timed(|| apply(&mut rules_state, 0, Change::ReplaceAll(rules_text())));
+    let (full_delta_time, ()) = timed(|| update_copy(&rules_state, &mut copy));
     let (mut edit_time, mut delta_time) = (Duration::ZERO, Duration::ZERO);
     for number in 1..=EDITS {
         let text = format!("route GET /shelf-{number}/* to stock once # asked by Meera");
@@ -23,17 +23,17 @@
             replaces: None,
             text,
         };
-        edit_time += timed(|| apply(&mut config, number, set_line)).0;
-        delta_time += timed(|| update_copy(&config, &mut copy)).0;
+        edit_time += timed(|| apply(&mut rules_state, number, set_line)).0;
+        delta_time += timed(|| update_copy(&rules_state, &mut copy)).0;
     }
-    let mut text = config.rules().text().to_string();
+    let mut text = rules_state.rules().text().to_string();
     text.push_str("keys remember 48h # asked by Meera\n");
-    let (resend_time, ()) = timed(|| apply(&mut config, EDITS + 1, Change::ReplaceAll(text)));
-    let (snapshot_time, snapshot) = timed(|| config.snapshot());
-    let (restore_time, restored) = timed(|| Config::restore(&snapshot));
+    let (resend_time, ()) = timed(|| apply(&mut rules_state, EDITS + 1, Change::ReplaceAll(text)));
+    let (snapshot_time, snapshot) = timed(|| rules_state.snapshot());
+    let (restore_time, restored) = timed(|| RulesState::restore(&snapshot));
     assert_eq!(
-        restored.map(|config| config.revision()),
-        Ok(config.revision())
+        restored.map(|rules_state| rules_state.revision()),
+        Ok(rules_state.revision())
     );
     println!(
         "{LINES} lines: replace the file {replace_time:?}, \
@@ -47,7 +47,7 @@
     );
 }
 
-fn apply(config: &mut Config, number: u32, change: Change) {
+fn apply(rules_state: &mut RulesState, number: u32, change: Change) {
     let mut random = [0; 10];
     random[6..].copy_from_slice(&number.to_le_bytes());
     let edit = Edit {
@@ -56,12 +56,12 @@
         expected: None,
         change,
     };
-    let reply = config.apply(NOW, edit);
+    let reply = rules_state.apply(NOW, edit);
     assert!(matches!(reply, EditReply::Accepted { .. }), "{reply:?}");
 }
 
-fn update_copy(config: &Config, copy: &mut RulesCopy) {
-    let delta = config.delta_since(copy.revision());
+fn update_copy(rules_state: &RulesState, copy: &mut RulesCopy) {
+    let delta = rules_state.delta_since(copy.revision());
     assert_eq!(copy.apply_delta(&delta), Ok(true));
 }
 
--- a/crates/auburnbridge_config/src/change.rs
+++ b/crates/auburnbridge_config/src/change.rs
@@ -59,34 +59,34 @@
 
 /// Reason why a change can't be applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ChangeRefusal {
+pub enum ChangeError {
     /// The resulting rules would be invalid.
     Invalid(Vec<RuleError>),
     /// No line matches.
     NoSuchLine,
 }
 
-impl From<ChangeRefusal> for EditReply {
-    fn from(refusal: ChangeRefusal) -> Self {
-        match refusal {
-            ChangeRefusal::Invalid(errors) => Self::invalid(errors),
-            ChangeRefusal::NoSuchLine => Self::NoSuchLine,
+impl From<ChangeError> for EditReply {
+    fn from(error: ChangeError) -> Self {
+        match error {
+            ChangeError::Invalid(errors) => Self::invalid(errors),
+            ChangeError::NoSuchLine => Self::NoSuchLine,
         }
     }
 }
 
 impl Change {
     /// Returns the rules that result from applying the change to `rules`.
-    pub fn apply_to(&self, rules: &Rules) -> Result<ChangedRules, ChangeRefusal> {
+    pub fn apply_to(&self, rules: &Rules) -> Result<ChangedRules, ChangeError> {
         let edits = match self {
             Self::ReplaceAll(text) => return replace_all(rules, text),
             Self::SetLine { replaces, text } => vec![set_line(rules, replaces.as_ref(), text)?],
             Self::RemoveLine { line } => {
-                let line = line.find(rules.text()).ok_or(ChangeRefusal::NoSuchLine)?;
+                let line = line.find(rules.text()).ok_or(ChangeError::NoSuchLine)?;
                 vec![LineEdit::Remove { line }]
             }
         };
-        let edited = rules.edited(&edits).map_err(ChangeRefusal::Invalid)?;
+        let edited = rules.edited(&edits).map_err(ChangeError::Invalid)?;
         Ok(ChangedRules {
             rules: edited,
             edits: Some(edits),
@@ -113,7 +113,7 @@
 }
 
 /// Replaces the whole text; adds a missing final line feed, as line edits do.
-fn replace_all(rules: &Rules, text: &str) -> Result<ChangedRules, ChangeRefusal> {
+fn replace_all(rules: &Rules, text: &str) -> Result<ChangedRules, ChangeError> {
     let mut text = text.to_owned();
     if !text.is_empty() && !text.ends_with('\n') {
         text.push('\n');
@@ -125,7 +125,7 @@
         Some(edits) => rules.edited(edits),
         None => Rules::parse(&text),
     };
-    let rules = rules.map_err(ChangeRefusal::Invalid)?;
+    let rules = rules.map_err(ChangeError::Invalid)?;
     Ok(ChangedRules { rules, edits })
 }
 
@@ -133,13 +133,9 @@
     rules: &Rules,
     replaces: Option<&LineSelector>,
     text: &str,
-) -> Result<LineEdit, ChangeRefusal> {
+) -> Result<LineEdit, ChangeError> {
     let found = match replaces {
-        Some(selector) => Some(
-            selector
-                .find(rules.text())
-                .ok_or(ChangeRefusal::NoSuchLine)?,
-        ),
+        Some(selector) => Some(selector.find(rules.text()).ok_or(ChangeError::NoSuchLine)?),
         None => text
             .parse::<LineKey>()
             .ok()
--- a/crates/auburnbridge_config/src/lib.rs
+++ b/crates/auburnbridge_config/src/lib.rs
@@ -9,26 +9,26 @@
 //! the id must be kept: a resend with a kept id gets the first reply again, and an id so old that
 //! it may already have been dropped is refused as expired.
 //!
-//! In addition to the rules, [`Published`] holds a document of opaque format, for platforms whose
-//! operators send whole configurations with version numbers of their own.
+//! In addition to the rules, [`PublishedConfig`] holds a document of opaque format, for platforms
+//! whose operators send whole configurations with version numbers of their own.
 
 mod change;
-mod config;
 mod delta;
 mod edit;
 mod history;
 mod line_diff;
 mod published;
 mod rules_copy;
+mod rules_state;
 mod seen_edits;
 mod snapshot;
 
-pub use change::{Change, ChangeRefusal, ChangedRules, LineSelector};
-pub use config::Config;
+pub use change::{Change, ChangeError, ChangedRules, LineSelector};
 pub use delta::{Delta, MAX_DELTA_EDITS};
 pub use edit::{Author, Edit, EditId, EditReply, MAX_REPLY_ERRORS};
 pub use history::{HistoryEntry, MAX_HISTORY};
-pub use published::{Publish, PublishReply, Published};
+pub use published::{PublishReply, PublishedConfig, VersionedDocument};
 pub use rules_copy::{DeltaError, RulesCopy};
+pub use rules_state::RulesState;
 pub use seen_edits::{EDIT_ID_RETENTION, MAX_EDIT_IDS, MAX_KEPT_ERROR_BYTES};
 pub use snapshot::SnapshotError;
--- a/crates/auburnbridge_config/src/published.rs
+++ b/crates/auburnbridge_config/src/published.rs
@@ -10,14 +10,15 @@
 ///
 /// Clones share the document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Publish {
+pub struct VersionedDocument {
     /// Version of the document.
     pub version: ConfigVersion,
     /// The document, in a format that is opaque to this crate.
     pub document: Arc<[u8]>,
 }
 
-/// Reply to a [`Publish`]; after either variant it need not be sent again.
+/// Reply to the publication of a [`VersionedDocument`]; after either variant it need not be sent
+/// again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum PublishReply {
@@ -29,13 +30,13 @@
 
 /// The state machine of the published document, which is empty at first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Published {
-    current: Option<Publish>,
+pub struct PublishedConfig {
+    current: Option<VersionedDocument>,
 }
 
-impl Published {
+impl PublishedConfig {
     /// Applies a committed command: puts `proposed` in force if its version is higher.
-    pub fn apply(&mut self, proposed: Publish) -> PublishReply {
+    pub fn apply(&mut self, proposed: VersionedDocument) -> PublishReply {
         if self
             .version()
             .is_some_and(|current| proposed.version <= current)
@@ -52,7 +53,7 @@
     }
 
     /// The document in force.
-    pub fn current(&self) -> Option<&Publish> {
+    pub fn current(&self) -> Option<&VersionedDocument> {
         self.current.as_ref()
     }
 }
--- a/crates/auburnbridge_config/src/config.rs
+++ b/crates/auburnbridge_config/src/rules_state.rs
@@ -18,13 +18,13 @@
 /// Whether an edit is accepted depends on the grammar of the rules, so keepers that run programs with
 /// different grammars could reply differently to the same log entry.
 #[derive(Clone, Debug, Default)]
-pub struct Config {
+pub struct RulesState {
     pub(crate) copy: RulesCopy,
     pub(crate) seen_edits: SeenEdits,
     pub(crate) history: VecDeque<HistoryEntry>,
 }
 
-impl Config {
+impl RulesState {
     /// Applies an edit at `now`, the timestamp of its log entry.
     pub fn apply(&mut self, now: Timestamp, edit: Edit) -> EditReply {
         let digest = edit_digest(&edit);
@@ -89,7 +89,7 @@
         }
         let changed = match edit.change.apply_to(self.rules()) {
             Ok(changed) => changed,
-            Err(refusal) => return refusal.into(),
+            Err(error) => return error.into(),
         };
         let summary = edit.change.summary(&changed);
         let revision = self.copy.accept(changed.rules, changed.edits);
--- a/crates/auburnbridge_config/src/snapshot.rs
+++ b/crates/auburnbridge_config/src/snapshot.rs
@@ -9,11 +9,11 @@
 use auburnbridge_types::Revision;
 use serde::{Deserialize, Serialize};
 
-use crate::config::Config;
 use crate::delta::DeltaLog;
 use crate::edit::EditId;
 use crate::history::HistoryEntry;
 use crate::rules_copy::RulesCopy;
+use crate::rules_state::RulesState;
 use crate::seen_edits::{SeenEdit, SeenEdits};
 
 /// Version of the encoding; snapshots with a higher version are refused.
@@ -68,7 +68,7 @@
     history: VecDeque<HistoryEntry>,
 }
 
-impl Config {
+impl RulesState {
     /// Encodes the complete state.
     pub fn snapshot(&self) -> Vec<u8> {
         let state = SnapshotRef {
--- a/crates/auburnbridge_config/tests/edits.rs
+++ b/crates/auburnbridge_config/tests/edits.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use auburnbridge_config::{
-    Change, Config, EDIT_ID_RETENTION, Edit, EditReply, LineSelector, MAX_EDIT_IDS,
+    Change, EDIT_ID_RETENTION, Edit, EditReply, LineSelector, MAX_EDIT_IDS, RulesState,
 };
 use auburnbridge_types::{Millis, Revision, Timestamp};
 use common::{SERVICE, START, edit, id, remove, set};
@@ -54,14 +54,14 @@
         edit(11, None, set("# a comment")),
         edit(12, None, set("two\nlines")),
     ];
-    let mut config = Config::default();
+    let mut rules_state = RulesState::default();
     let mut lines = Vec::new();
     for step in steps {
-        lines.push(format!("{:?}", config.apply(START, step)));
+        lines.push(format!("{:?}", rules_state.apply(START, step)));
     }
-    lines.push(config.rules().text().to_string());
+    lines.push(rules_state.rules().text().to_string());
     lines.extend(
-        config
+        rules_state
             .history()
             .map(|entry| format!("{} {} {}", entry.revision, entry.author, entry.summary)),
     );
@@ -72,8 +72,8 @@
 /// in the log.
 #[test]
 fn first_concurrent_edit_in_log_order_wins() {
-    let mut config = Config::default();
-    let accepted = config.apply(START, edit(1, Some(0), set(SERVICE)));
+    let mut rules_state = RulesState::default();
+    let accepted = rules_state.apply(START, edit(1, Some(0), set(SERVICE)));
     assert_eq!(
         accepted,
         EditReply::Accepted {
@@ -81,7 +81,7 @@
         }
     );
     for number in 2..5 {
-        let reply = config.apply(
+        let reply = rules_state.apply(
             START,
             edit(number, Some(0), set("keys remember 48h # asked by Ana")),
         );
@@ -98,18 +98,21 @@
 /// memory.
 #[test]
 fn kept_ids_are_bounded_and_edits_apply_at_most_once() {
-    let mut config = Config::default();
+    let mut rules_state = RulesState::default();
     let refused = |number| edit(number, Some(7), set(SERVICE));
     let stale = EditReply::Stale {
         current: Revision(0),
     };
     let count = u32::try_from(MAX_EDIT_IDS).unwrap();
     for number in 0..count {
-        assert_eq!(config.apply(START, refused(number)), stale);
+        assert_eq!(rules_state.apply(START, refused(number)), stale);
     }
-    assert_eq!(config.apply(START, refused(count)), EditReply::TooManyEdits);
     assert_eq!(
-        config.apply(START, refused(0)),
+        rules_state.apply(START, refused(count)),
+        EditReply::TooManyEdits
+    );
+    assert_eq!(
+        rules_state.apply(START, refused(0)),
         EditReply::Repeated(Box::new(stale.clone()))
     );
 
@@ -120,14 +123,14 @@
     // The creation time of an id may be up to 5 min after the id was seen, so the id is kept that
     // much longer than its retention.
     let retention_end = START.after(EDIT_ID_RETENTION);
-    let reply = config.apply(retention_end, fresh(retention_end, count));
+    let reply = rules_state.apply(retention_end, fresh(retention_end, count));
     assert_eq!(reply, EditReply::TooManyEdits);
     let later = retention_end.after(Millis(5 * 60_000));
-    assert_eq!(config.apply(later, fresh(later, count)), stale);
+    assert_eq!(rules_state.apply(later, fresh(later, count)), stale);
     // The first id was dropped to make room; it has expired, so its resend isn't taken for new.
-    assert_eq!(config.apply(later, refused(0)), EditReply::IdExpired);
+    assert_eq!(rules_state.apply(later, refused(0)), EditReply::IdExpired);
     assert_eq!(
-        config.apply(later, refused(1)),
+        rules_state.apply(later, refused(1)),
         EditReply::Repeated(Box::new(stale))
     );
 }
@@ -144,7 +147,7 @@
     ];
     for (created, accepted) in cases {
         let id = id(Timestamp(created), 1);
-        let reply = Config::default().apply(
+        let reply = RulesState::default().apply(
             START,
             Edit {
                 id,
@@ -158,17 +161,17 @@
 /// Guards against refused edits whose kept errors exhaust the memory.
 #[test]
 fn kept_errors_are_bounded() {
-    let mut config = Config::default();
+    let mut rules_state = RulesState::default();
     let invalid = || Change::ReplaceAll("wrong line\n".repeat(2_000));
     for number in 0..40 {
-        let reply = config.apply(START, edit(number, None, invalid()));
+        let reply = rules_state.apply(START, edit(number, None, invalid()));
         let EditReply::Invalid { errors, omitted } = reply else {
             panic!("edit {number} should be refused as invalid")
         };
         assert_eq!((errors.len(), omitted), (1_000, 3_000));
     }
-    assert!(config.snapshot().len() < 5 << 20);
-    let EditReply::Repeated(first) = config.apply(START, edit(0, None, invalid())) else {
+    assert!(rules_state.snapshot().len() < 5 << 20);
+    let EditReply::Repeated(first) = rules_state.apply(START, edit(0, None, invalid())) else {
         panic!("the first id should still be known");
     };
     assert_eq!(
--- a/crates/auburnbridge_config/tests/published.rs
+++ b/crates/auburnbridge_config/tests/published.rs
@@ -1,10 +1,10 @@
 //! Tests of the published configuration and its encoding.
 
-use auburnbridge_config::{Publish, PublishReply, Published};
+use auburnbridge_config::{PublishReply, PublishedConfig, VersionedDocument};
 use auburnbridge_types::ConfigVersion;
 
-fn document(version: u64, bytes: &[u8]) -> Publish {
-    Publish {
+fn document(version: u64, bytes: &[u8]) -> VersionedDocument {
+    VersionedDocument {
         version: ConfigVersion(version),
         document: bytes.into(),
     }
@@ -14,7 +14,7 @@
 /// force.
 #[test]
 fn only_higher_versions_take_effect() {
-    let mut published = Published::default();
+    let mut published = PublishedConfig::default();
     assert_eq!(published.apply(document(3, b"a")), PublishReply::Accepted);
     for superseded in [document(2, b"b"), document(3, b"c")] {
         assert_eq!(published.apply(superseded), PublishReply::Superseded);
@@ -30,11 +30,11 @@
 fn encoding_is_version_and_document_bytes() {
     let bytes = postcard::to_stdvec(&(300_u64, vec![1_u8, 2])).unwrap();
     assert_eq!(postcard::to_stdvec(&document(300, &[1, 2])).unwrap(), bytes);
-    let mut published = Published::default();
+    let mut published = PublishedConfig::default();
     published.apply(document(300, &[1, 2]));
     let stored = postcard::to_stdvec(&Some((300_u64, vec![1_u8, 2]))).unwrap();
     assert_eq!(
-        postcard::from_bytes::<Published>(&stored).unwrap(),
+        postcard::from_bytes::<PublishedConfig>(&stored).unwrap(),
         published
     );
 }
--- a/crates/auburnbridge_config/tests/replication.rs
+++ b/crates/auburnbridge_config/tests/replication.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use auburnbridge_config::{
-    Change, Config, Delta, DeltaError, Edit, EditReply, RulesCopy, SnapshotError,
+    Change, Delta, DeltaError, Edit, EditReply, RulesCopy, RulesState, SnapshotError,
 };
 use auburnbridge_rules::{LineEdit, TextDigest};
 use auburnbridge_types::{Millis, Revision};
@@ -68,11 +68,11 @@
     /// Guards against a restarted keeper that continues from a different state than it had before.
     #[test]
     fn restored_state_is_identical(edits in edits(1_000), restart in 0..1_000usize) {
-        let mut uninterrupted = Config::default();
-        let mut restarted = Config::default();
+        let mut uninterrupted = RulesState::default();
+        let mut restarted = RulesState::default();
         for (step, edit) in edits.into_iter().enumerate() {
             if step == restart {
-                restarted = Config::restore(&restarted.snapshot()).unwrap();
+                restarted = RulesState::restore(&restarted.snapshot()).unwrap();
             }
             let now = START.after(Millis(step as u64));
             let replies = (uninterrupted.apply(now, edit.clone()), restarted.apply(now, edit));
@@ -81,7 +81,7 @@
         let snapshot = uninterrupted.snapshot();
         prop_assert!(uninterrupted.revision() > Revision(10));
         prop_assert_eq!(&snapshot, &restarted.snapshot());
-        prop_assert_eq!(&snapshot, &Config::restore(&snapshot).unwrap().snapshot());
+        prop_assert_eq!(&snapshot, &RulesState::restore(&snapshot).unwrap().snapshot());
     }
 
     /// Guards against an entry whose rules differ from those of the keepers after it fetched them,
@@ -91,14 +91,14 @@
         edits in edits(60),
         fetches in prop::collection::vec((any::<bool>(), any::<bool>()), 60),
     ) {
-        let mut config = Config::default();
+        let mut rules_state = RulesState::default();
         let (mut direct, mut indirect) = (RulesCopy::default(), RulesCopy::default());
         for (edit, (direct_fetches, indirect_fetches)) in edits.into_iter().zip(fetches) {
-            config.apply(START, edit);
+            rules_state.apply(START, edit);
             if direct_fetches {
-                direct.apply_delta(&config.delta_since(direct.revision())).unwrap();
-                prop_assert_eq!(direct.revision(), config.revision());
-                prop_assert_eq!(direct.rules(), config.rules());
+                direct.apply_delta(&rules_state.delta_since(direct.revision())).unwrap();
+                prop_assert_eq!(direct.revision(), rules_state.revision());
+                prop_assert_eq!(direct.rules(), rules_state.rules());
             }
             if indirect_fetches {
                 indirect.apply_delta(&direct.delta_since(indirect.revision())).unwrap();
@@ -108,22 +108,23 @@
     }
 }
 
-fn config_with_copy() -> (Config, RulesCopy) {
-    let mut config = Config::default();
-    config.apply(START, edit(1, None, set(SERVICE)));
+fn state_with_copy() -> (RulesState, RulesCopy) {
+    let mut rules_state = RulesState::default();
+    rules_state.apply(START, edit(1, None, set(SERVICE)));
     let mut copy = RulesCopy::default();
-    copy.apply_delta(&config.delta_since(Revision(0))).unwrap();
-    (config, copy)
+    copy.apply_delta(&rules_state.delta_since(Revision(0)))
+        .unwrap();
+    (rules_state, copy)
 }
 
 /// Guards against an entry that returns to a lower revision or accepts a delta with a wrong base,
 /// digest or text.
 #[test]
 fn invalid_deltas_are_refused() {
-    let (config, copy) = config_with_copy();
+    let (rules_state, copy) = state_with_copy();
     let (revision, digest) = (Revision(2), TextDigest::of(""));
     let edits = vec![LineEdit::Remove { line: 1 }];
-    let base_digest = config.digest();
+    let base_digest = rules_state.digest();
     let lines = |base, base_digest, digest, edits: &[LineEdit]| Delta::Lines {
         base,
         base_digest,
@@ -151,7 +152,7 @@
     for delta in refused {
         let mut copy = copy.clone();
         messages.push(copy.apply_delta(&delta).unwrap_err().to_string());
-        assert_eq!(copy.rules().text(), config.rules().text());
+        assert_eq!(copy.rules().text(), rules_state.rules().text());
         assert_eq!(copy.revision(), base);
     }
     insta::assert_snapshot!(messages.join("\n"));
@@ -161,8 +162,8 @@
     ] {
         assert_eq!(copy.clone().apply_delta(&accepted), Ok(true));
     }
-    assert_eq!(copy.clone().apply_delta(&config.whole()), Ok(false));
-    let ahead = config.delta_since(Revision(5));
+    assert_eq!(copy.clone().apply_delta(&rules_state.whole()), Ok(false));
+    let ahead = rules_state.delta_since(Revision(5));
     assert_eq!(ahead, Delta::Current { revision: base });
     assert!(matches!(copy.clone().apply_delta(&ahead), Ok(false)));
     let lower = copy.clone().apply_delta(&whole(Revision(0), ""));
@@ -172,10 +173,10 @@
 /// Guards against a one-line edit that makes every entry fetch the whole file.
 #[test]
 fn small_changes_are_sent_as_line_edits() {
-    let (mut config, _) = config_with_copy();
-    let mut text = config.rules().text().to_string();
+    let (mut rules_state, _) = state_with_copy();
+    let mut text = rules_state.rules().text().to_string();
     text.push_str("keys remember 48h # asked by Jonas\n");
-    let reply = config.apply(START, edit(2, None, Change::ReplaceAll(text)));
+    let reply = rules_state.apply(START, edit(2, None, Change::ReplaceAll(text)));
     assert_eq!(
         reply,
         EditReply::Accepted {
@@ -183,7 +184,7 @@
         }
     );
     for (since, count) in [(0, 2), (1, 1)] {
-        let Delta::Lines { edits, .. } = config.delta_since(Revision(since)) else {
+        let Delta::Lines { edits, .. } = rules_state.delta_since(Revision(since)) else {
             panic!("an entry at revision {since} should get line edits");
         };
         assert_eq!(edits.len(), count);
@@ -193,24 +194,24 @@
 /// Guards against restoring a corrupt snapshot or one of a newer version.
 #[test]
 fn invalid_snapshots_are_refused() {
-    let (config, _) = config_with_copy();
-    let snapshot = config.snapshot();
+    let (rules_state, _) = state_with_copy();
+    let snapshot = rules_state.snapshot();
     let mut newer = snapshot.clone();
     newer[0] += 1;
     assert_eq!(
-        Config::restore(&newer).unwrap_err(),
+        RulesState::restore(&newer).unwrap_err(),
         SnapshotError::NewerVersion(2)
     );
     for end in 0..snapshot.len() {
         assert!(
-            Config::restore(&snapshot[..end]).is_err(),
+            RulesState::restore(&snapshot[..end]).is_err(),
             "the first {end} bytes were accepted"
         );
     }
     let mut longer = snapshot;
     longer.push(0);
     assert_eq!(
-        Config::restore(&longer).unwrap_err(),
+        RulesState::restore(&longer).unwrap_err(),
         SnapshotError::Malformed
     );
 }
--- a/crates/auburnbridge_keeper/src/catalogue.rs
+++ b/crates/auburnbridge_keeper/src/catalogue.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-use auburnbridge_config::Publish;
+use auburnbridge_config::VersionedDocument;
 use auburnbridge_membership::{AnnouncedState, Announcement, TargetMembership, Verdict};
 use auburnbridge_messages::{GatewayLocation, Heard, ListPosition, Watch, Watched};
 use auburnbridge_types::{Clock, ConfigVersion, Incarnation, Millis, TargetId, Timestamp, VmId};
@@ -38,7 +38,7 @@
     changes: u64,
     /// The last changes, oldest first.
     recent: VecDeque<Announcement>,
-    document: Option<Publish>,
+    document: Option<VersionedDocument>,
     confirmed: Option<Timestamp>,
     keepers: Vec<VmId>,
     gateways: HashMap<VmId, (GatewayLocation, Timestamp)>,
@@ -330,7 +330,7 @@
 }
 
 impl CommitObserver for Catalogue {
-    fn published(&self, published: &Publish) {
+    fn published(&self, published: &VersionedDocument) {
         {
             let mut state = self.state.lock();
             // The log is applied from its start; what was cached may be newer than its first records.
--- a/crates/auburnbridge_keeper/src/control.rs
+++ b/crates/auburnbridge_keeper/src/control.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use auburnbridge_caller::{Disconnect, Service};
-use auburnbridge_config::Publish;
+use auburnbridge_config::VersionedDocument;
 use auburnbridge_http::{Request, Response};
 use auburnbridge_membership::{AnnouncedState, Announcement, Verdict};
 use auburnbridge_messages::{pack_document, unpack_document};
@@ -62,7 +62,7 @@
 
     async fn publish(&self, document: PublishedDocument) -> Response {
         let version = document.version;
-        let order = Publish {
+        let order = VersionedDocument {
             version,
             document: pack_document(&document.bytes).into(),
         };
--- a/crates/auburnbridge_keeper/src/core.rs
+++ b/crates/auburnbridge_keeper/src/core.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use auburnbridge_config::{Delta, HistoryEntry, Publish, PublishReply};
+use auburnbridge_config::{Delta, HistoryEntry, PublishReply, VersionedDocument};
 use auburnbridge_log::{
     Input, LogIndex, Member, MemberChange, MemberRole, Members, Message, Output, Persist,
     RejectReason, Replica, ReplicaId, Status, Token,
@@ -48,7 +48,7 @@
     /// A request for the published document, newer than any acknowledgement before the request.
     ReadPublished {
         /// Receives the version and the document, if one is in force.
-        reply: Sender<Result<Option<Publish>, RejectReason>>,
+        reply: Sender<Result<Option<VersionedDocument>, RejectReason>>,
     },
     /// A request for the rules after a revision.
     Rules {
@@ -92,7 +92,7 @@
 /// Hears what is committed, on the thread of the log; it must not block.
 pub trait CommitObserver: Send + Sync {
     /// A document is in force.
-    fn published(&self, published: &Publish);
+    fn published(&self, published: &VersionedDocument);
 
     /// A target has left.
     fn departed(&self, announcement: &Announcement);
@@ -131,7 +131,7 @@
 enum Waiter {
     Proposal(Sender<Result<StateReply, RejectReason>>),
     Change(Sender<Result<(), RejectReason>>),
-    Read(Sender<Result<Option<Publish>, RejectReason>>),
+    Read(Sender<Result<Option<VersionedDocument>, RejectReason>>),
 }
 
 /// Reason why the thread ends before it is told to.
--- a/crates/auburnbridge_keeper/src/group_client.rs
+++ b/crates/auburnbridge_keeper/src/group_client.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use auburnbridge_config::Publish;
+use auburnbridge_config::VersionedDocument;
 use auburnbridge_membership::Announcement;
 use auburnbridge_messages::{self as messages, Reply, Request};
 use auburnbridge_peer::Transport;
@@ -39,7 +39,11 @@
 
 impl GroupClient {
     /// Puts a document in force. Sending it again is harmless, since its version decides.
-    pub async fn publish(&self, order: Publish, limit: Millis) -> Result<(), Unavailable> {
+    pub async fn publish(
+        &self,
+        order: VersionedDocument,
+        limit: Millis,
+    ) -> Result<(), Unavailable> {
         let local = || StateCommand::Publish(order.clone());
         let request = Request::Publish(order.clone());
         match self.submit(local, &request, limit).await? {
@@ -59,7 +63,7 @@
     }
 
     /// The document that is in force, newer than any acknowledgement before the call.
-    pub async fn read(&self, limit: Millis) -> Result<Option<Publish>, Unavailable> {
+    pub async fn read(&self, limit: Millis) -> Result<Option<VersionedDocument>, Unavailable> {
         let reading = async {
             loop {
                 let reply = match self.server.read_published().await {
--- a/crates/auburnbridge_keeper/src/state.rs
+++ b/crates/auburnbridge_keeper/src/state.rs
@@ -3,7 +3,9 @@
 
 use std::collections::VecDeque;
 
-use auburnbridge_config::{Config, Edit, EditReply, Publish, PublishReply, Published};
+use auburnbridge_config::{
+    Edit, EditReply, PublishReply, PublishedConfig, RulesState, VersionedDocument,
+};
 use auburnbridge_ledger::{Command, Ledger, Reply};
 use auburnbridge_membership::Announcement;
 use auburnbridge_types::Timestamp;
@@ -17,7 +19,7 @@
     /// For the rules.
     Edit(Edit),
     /// Puts a configuration document in force.
-    Publish(Publish),
+    Publish(VersionedDocument),
     /// A target leaves; its announcement states which of its lives.
     Depart(Announcement),
 }
@@ -56,9 +58,9 @@
     /// Grants and stored answers.
     pub ledger: Ledger,
     /// Rules and their history.
-    pub config: Config,
+    pub config: RulesState,
     /// Published configuration.
-    pub published: Published,
+    pub published: PublishedConfig,
     /// Targets that left, oldest first.
     pub departures: VecDeque<Announcement>,
 }
@@ -67,7 +69,7 @@
 struct SnapshotParts {
     ledger: Vec<u8>,
     config: Vec<u8>,
-    published: Published,
+    published: PublishedConfig,
     departures: VecDeque<Announcement>,
 }
 
@@ -128,7 +130,7 @@
         Ok(Self {
             ledger: Ledger::restore(&parts.ledger)
                 .map_err(|error| RestoreError(error.to_string()))?,
-            config: Config::restore(&parts.config)
+            config: RulesState::restore(&parts.config)
                 .map_err(|error| RestoreError(error.to_string()))?,
             published: parts.published,
             departures: parts.departures,
--- a/crates/auburnbridge_keeper/src/view_cache.rs
+++ b/crates/auburnbridge_keeper/src/view_cache.rs
@@ -11,7 +11,7 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError};
 use std::thread;
 
-use auburnbridge_config::Publish;
+use auburnbridge_config::VersionedDocument;
 use auburnbridge_membership::Announcement;
 use log::{debug, warn};
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CachedView {
     /// The published document.
-    pub document: Option<Publish>,
+    pub document: Option<VersionedDocument>,
     /// Announcements of targets, departures included.
     pub targets: Vec<Announcement>,
 }
--- a/crates/auburnbridge_keeper/tests/catalogue.rs
+++ b/crates/auburnbridge_keeper/tests/catalogue.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use async_std::task::block_on;
-use auburnbridge_config::Publish;
+use auburnbridge_config::VersionedDocument;
 use auburnbridge_keeper::{
     CachedView, Catalogue, CommitObserver, LeavingTarget, ViewCache, read_view,
 };
@@ -45,8 +45,8 @@
     target.parse().unwrap()
 }
 
-fn document(version: u64, bytes: &[u8]) -> Publish {
-    Publish {
+fn document(version: u64, bytes: &[u8]) -> VersionedDocument {
+    VersionedDocument {
         version: ConfigVersion(version),
         document: bytes.into(),
     }
--- a/crates/auburnbridge_messages/src/lib.rs
+++ b/crates/auburnbridge_messages/src/lib.rs
@@ -6,7 +6,7 @@
 
 use std::net::SocketAddr;
 
-use auburnbridge_config::{Delta, Edit, EditReply, Publish, PublishReply};
+use auburnbridge_config::{Delta, Edit, EditReply, PublishReply, VersionedDocument};
 use auburnbridge_ledger::{Command, Reply as LedgerReply};
 use auburnbridge_log::{Member, Message, ReplicaId};
 use auburnbridge_membership::{Announcement, EntryAnnouncement, SyncMessage};
@@ -64,7 +64,7 @@
     /// Between entries: one step of the anti-entropy exchange of entries.
     SyncEntries(SyncMessage<EntryAnnouncement>),
     /// To the leading keeper: publish a configuration document.
-    Publish(Publish),
+    Publish(VersionedDocument),
     /// To the leading keeper: record that a target has left.
     Depart(Announcement),
     /// To the leading keeper: read the published document.
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watched {
     /// The published document, if newer than the gateway's.
-    pub document: Option<Publish>,
+    pub document: Option<VersionedDocument>,
     /// Position of the list after applying `targets`.
     pub position: ListPosition,
     /// Changed targets; all targets if the position can't be resumed, such as another keeper's.
@@ -186,7 +186,7 @@
     /// The reply to a published document, after a quorum has synced it.
     Published(PublishReply),
     /// The published document in force when the request arrived.
-    Document(Option<Publish>),
+    Document(Option<VersionedDocument>),
     /// What is newer than the state of the gateway.
     Watched(Watched),
     /// All known targets, including departed ones.
--- a/crates/auburnbridge_operator/src/edits.rs
+++ b/crates/auburnbridge_operator/src/edits.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use async_std::task::spawn_blocking;
-use auburnbridge_config::{Change, ChangeRefusal, Edit, EditId};
+use auburnbridge_config::{Change, ChangeError, Edit, EditId};
 use auburnbridge_types::Revision;
 use serde_json::json;
 use tide::http::headers::{ETAG, IF_MATCH};
@@ -91,8 +91,8 @@
         spawn_blocking(move || {
             let old = Arc::clone(&known.rules);
             let changed = change.apply_to(&old).map_err(|refusal| match refusal {
-                ChangeRefusal::Invalid(errors) => Problem::invalid(errors, 0),
-                ChangeRefusal::NoSuchLine => Problem::new(ProblemKind::NoSuchLine),
+                ChangeError::Invalid(errors) => Problem::invalid(errors, 0),
+                ChangeError::NoSuchLine => Problem::new(ProblemKind::NoSuchLine),
             })?;
             authorize(&key, &old, &changed.rules)?;
             Ok(change)
--- a/crates/auburnbridge_operator/tests/operator.rs
+++ b/crates/auburnbridge_operator/tests/operator.rs
@@ -5,7 +5,7 @@
 
 use async_std::sync::Mutex;
 use async_std::task::block_on;
-use auburnbridge_config::{Config, Edit, EditReply, HistoryEntry};
+use auburnbridge_config::{Edit, EditReply, HistoryEntry, RulesState};
 use auburnbridge_operator::{
     ConfigStore, FleetStatus, KeyDigest, MAX_LINE_EDIT_BYTES, OperatorKey, OperatorKeys,
     OperatorServer, RulesInForce, StoreError, TargetStatus, VmStatus, server,
@@ -25,7 +25,7 @@
 /// A state machine without a log.
 #[derive(Default)]
 struct FakeStore {
-    config: Mutex<Config>,
+    config: Mutex<RulesState>,
     submitted: AtomicU64,
     /// When set, reads answer with this revision's number although the log is further.
     lagging: Mutex<Option<RulesInForce>>,
