--- a/crates/auburnbridge_capacity/src/gossip.rs
+++ b/crates/auburnbridge_capacity/src/gossip.rs
@@ -99,7 +99,7 @@
         };
         let members: TargetMembership =
             measure_rumours(report, size, &TARGET_METRICS, make, |targets| {
-                Request::Rumours {
+                Request::EntryGossip {
                     targets,
                     entries: Vec::new(),
                 }
@@ -115,7 +115,7 @@
                 .collect()
         };
         let _: EntryMembership = measure_rumours(report, size, &ENTRY_METRICS, make, |entries| {
-            Request::Rumours {
+            Request::EntryGossip {
                 targets: Vec::new(),
                 entries,
             }
--- a/crates/auburnbridge_entry/src/neighbours.rs
+++ b/crates/auburnbridge_entry/src/neighbours.rs
@@ -149,7 +149,7 @@
         let mut rumours = self.entry_rumours.lock();
         let mut entries = rumours.take_pending();
         entries.push(own);
-        let request = Request::Rumours { targets, entries };
+        let request = Request::EntryGossip { targets, entries };
         let Ok(body) = request.encode() else {
             warn!("rumours not sent: the message exceeds the size limit");
             return;
--- a/crates/auburnbridge_entry/src/server.rs
+++ b/crates/auburnbridge_entry/src/server.rs
@@ -35,7 +35,7 @@
                 self.entry.merge_evidence(&from.vm, &evidence);
                 Reply::Done
             }
-            (Request::Rumours { targets, entries }, Role::Entry) => {
+            (Request::EntryGossip { targets, entries }, Role::Entry) => {
                 self.neighbours.merge_rumours(&targets, &entries);
                 Reply::Done
             }
--- a/crates/auburnbridge_gateway/src/feed.rs
+++ b/crates/auburnbridge_gateway/src/feed.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use auburnbridge_messages::{
-    self as messages, ListPosition, Reply, Request, Watch, Watched, unpack_document,
+    self as messages, ListPosition, Reply, Request, WatchReply, WatchRequest, decompress_document,
 };
 use auburnbridge_peer::{PeerAddress, Transport};
 use auburnbridge_routing::Dialect;
@@ -93,7 +93,7 @@
     async fn follow(&self, keeper: &PeerAddress) {
         let mut position = None;
         loop {
-            let request = Request::Watch(Watch {
+            let request = Request::Watch(WatchRequest {
                 version: self.gateway.routes().map(|routes| routes.version()),
                 position,
                 wait: WATCH_TIMEOUT,
@@ -101,8 +101,8 @@
                 data_centre: self.data_centre.clone(),
             });
             let transport = self.transport.as_ref();
-            let watched = match messages::call(transport, keeper, &request, REPLY_TIMEOUT).await {
-                Ok(Reply::Watched(watched)) => watched,
+            let reply = match messages::call(transport, keeper, &request, REPLY_TIMEOUT).await {
+                Ok(Reply::Watched(reply)) => reply,
                 Ok(reply) => {
                     let name: &'static str = (&reply).into();
                     debug!(
@@ -123,12 +123,12 @@
             if position.is_none() {
                 info!(
                     keeper = keeper.vm.as_str(),
-                    confirmed_before:? = watched.confirmed_before;
+                    confirmed_before:? = reply.confirmed_before;
                     "keeper followed"
                 );
             }
-            let is_fresh = watched.confirmed_before.is_some_and(|age| age < STALE_AGE);
-            position = Some(self.apply(watched));
+            let is_fresh = reply.confirmed_before.is_some_and(|age| age < STALE_AGE);
+            position = Some(self.apply(reply));
             if is_fresh {
                 self.has_synced.store(true, Ordering::SeqCst);
             } else {
@@ -140,9 +140,9 @@
     }
 
     /// Applies the contents of a reply, and returns the position to watch from next.
-    fn apply(&self, watched: Watched) -> ListPosition {
-        if let Some(published) = watched.document {
-            let document = unpack_document(&published.document)
+    fn apply(&self, reply: WatchReply) -> ListPosition {
+        if let Some(published) = reply.document {
+            let document = decompress_document(&published.document)
                 .map_err(|error| error.to_string())
                 .and_then(|bytes| {
                     self.dialect
@@ -159,10 +159,10 @@
                 ),
             }
         }
-        self.gateway.services().apply_targets(&watched.targets);
-        let others = self.neighbours.set_gateways(watched.gateways);
+        self.gateway.services().apply_targets(&reply.targets);
+        let others = self.neighbours.set_gateways(reply.gateways);
         self.gateway.services().set_gateways(others);
-        self.known_keepers.lock().extend(watched.keepers);
-        watched.position
+        self.known_keepers.lock().extend(reply.keepers);
+        reply.position
     }
 }
--- a/crates/auburnbridge_keeper/src/catalogue.rs
+++ b/crates/auburnbridge_keeper/src/catalogue.rs
@@ -10,7 +10,9 @@
 
 use auburnbridge_config::VersionedDocument;
 use auburnbridge_membership::{AnnouncedState, Announcement, TargetMembership, Verdict};
-use auburnbridge_messages::{GatewayLocation, Heard, ListPosition, Watch, Watched};
+use auburnbridge_messages::{
+    GatewayLocation, KeeperGossip, ListPosition, WatchReply, WatchRequest,
+};
 use auburnbridge_types::{Clock, ConfigVersion, Incarnation, Millis, TargetId, Timestamp, VmId};
 use event_listener::Event;
 use futures_lite::FutureExt;
@@ -132,7 +134,7 @@
     }
 
     /// Takes over what another keeper heard.
-    pub fn merge(&self, heard: Heard) {
+    pub fn merge(&self, heard: KeeperGossip) {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let before = state.changes;
@@ -153,12 +155,12 @@
     }
 
     /// What the other keepers have not been told yet.
-    pub fn take_unsent(&self) -> Option<Heard> {
+    pub fn take_unsent(&self) -> Option<KeeperGossip> {
         let mut state = self.state.lock();
         if state.unsent.is_empty() && state.watching.is_empty() {
             return None;
         }
-        Some(Heard {
+        Some(KeeperGossip {
             targets: std::mem::take(&mut state.unsent),
             gateways: state.watching.drain().map(|(_, gateway)| gateway).collect(),
         })
@@ -214,7 +216,7 @@
     }
 
     /// Waits until the gateway lacks something, or for the time that it states.
-    pub async fn watch(&self, vm: &VmId, watch: Watch) -> Watched {
+    pub async fn watch(&self, vm: &VmId, watch: WatchRequest) -> WatchReply {
         let gateway = GatewayLocation {
             vm: vm.clone(),
             address: watch.address,
@@ -274,7 +276,7 @@
         verdict
     }
 
-    fn has_news(&self, watch: &Watch) -> bool {
+    fn has_news(&self, watch: &WatchRequest) -> bool {
         let has_list = watch
             .position
             .is_some_and(|position| position == self.position());
@@ -292,13 +294,13 @@
         }
     }
 
-    fn reply(&self, now: Timestamp, watch: &Watch) -> Watched {
+    fn reply(&self, now: Timestamp, watch: &WatchRequest) -> WatchReply {
         let document = self
             .document
             .as_ref()
             .filter(|document| Some(document.version) > watch.version)
             .cloned();
-        Watched {
+        WatchReply {
             document,
             position: self.position(),
             targets: self.targets_after(watch.position),
--- a/crates/auburnbridge_keeper/src/control.rs
+++ b/crates/auburnbridge_keeper/src/control.rs
@@ -8,7 +8,7 @@
 use auburnbridge_config::VersionedDocument;
 use auburnbridge_http::{Request, Response};
 use auburnbridge_membership::{AnnouncedState, Announcement, Verdict};
-use auburnbridge_messages::{pack_document, unpack_document};
+use auburnbridge_messages::{compress_document, decompress_document};
 use auburnbridge_routing::{CallError, ControlCall, Dialect, PublishedDocument};
 use auburnbridge_telemetry::ProcessMetrics;
 use auburnbridge_types::{BoxFuture, Incarnation, Millis, TargetId};
@@ -64,7 +64,7 @@
         let version = document.version;
         let order = VersionedDocument {
             version,
-            document: pack_document(&document.bytes).into(),
+            document: compress_document(&document.bytes).into(),
         };
         match self.group.publish(order, GROUP_LIMIT).await {
             Ok(()) => {
@@ -87,7 +87,7 @@
                 return text(503, "no quorum answered in time");
             }
         };
-        match unpack_document(&document.document) {
+        match decompress_document(&document.document) {
             Ok(bytes) => json(bytes),
             Err(error) => {
                 warn!(version = document.version.0, error:% = error; "configuration can't be unpacked");
--- a/crates/auburnbridge_keeper/src/gossip.rs
+++ b/crates/auburnbridge_keeper/src/gossip.rs
@@ -66,7 +66,7 @@
         if joined.is_empty() {
             return;
         }
-        let heard = messages::Heard {
+        let heard = messages::KeeperGossip {
             targets: self.catalogue.targets(),
             gateways: Vec::new(),
         };
@@ -104,7 +104,7 @@
             let request = Request::FetchTargets;
             match messages::call(transport, keeper, &request, FETCH_TIMEOUT).await {
                 Ok(Reply::Targets(targets)) => {
-                    self.catalogue.merge(messages::Heard {
+                    self.catalogue.merge(messages::KeeperGossip {
                         targets,
                         gateways: Vec::new(),
                     });
@@ -117,8 +117,8 @@
         false
     }
 
-    fn tell(&self, others: &[PeerAddress], heard: messages::Heard) {
-        match Request::Heard(heard).encode() {
+    fn tell(&self, others: &[PeerAddress], heard: messages::KeeperGossip) {
+        match Request::KeeperGossip(heard).encode() {
             Ok(body) => {
                 for keeper in others {
                     self.transport.send(keeper, body.clone());
--- a/crates/auburnbridge_keeper/src/server.rs
+++ b/crates/auburnbridge_keeper/src/server.rs
@@ -64,7 +64,7 @@
             (Request::Watch(watch), Role::Entry) => {
                 Reply::Watched(self.catalogue.watch(&from.vm, watch).await)
             }
-            (Request::Heard(heard), Role::Keeper) => {
+            (Request::KeeperGossip(heard), Role::Keeper) => {
                 self.catalogue.merge(heard);
                 Reply::Done
             }
--- a/crates/auburnbridge_keeper/tests/catalogue.rs
+++ b/crates/auburnbridge_keeper/tests/catalogue.rs
@@ -9,7 +9,7 @@
     CachedView, Catalogue, CommitObserver, LeavingTarget, ViewCache, read_view,
 };
 use auburnbridge_membership::{AnnouncedState, Announcement, Verdict};
-use auburnbridge_messages::{GatewayLocation, Heard, Watch, Watched};
+use auburnbridge_messages::{GatewayLocation, KeeperGossip, WatchReply, WatchRequest};
 use auburnbridge_types::{
     Clock, ConfigVersion, Incarnation, Millis, PausedClock, Sequence, Slots, TargetId, Timestamp,
     VmId,
@@ -53,8 +53,8 @@
 }
 
 /// What a gateway gets that has `earlier`.
-fn watch(catalogue: &Catalogue, earlier: Option<&Watched>) -> Watched {
-    let watch = Watch {
+fn watch(catalogue: &Catalogue, earlier: Option<&WatchReply>) -> WatchReply {
+    let watch = WatchRequest {
         version: earlier.and_then(|watched| Some(watched.document.as_ref()?.version)),
         position: earlier.map(|watched| watched.position),
         wait: Millis(0),
@@ -65,7 +65,7 @@
     block_on(catalogue.watch(&vm, watch))
 }
 
-fn ids(watched: &Watched) -> Vec<(&str, AnnouncedState)> {
+fn ids(watched: &WatchReply) -> Vec<(&str, AnnouncedState)> {
     let mut ids: Vec<(&str, AnnouncedState)> = watched
         .targets
         .iter()
@@ -161,7 +161,7 @@
     let clock = PausedClock::new(START);
     let catalogue = catalogue(&clock);
     catalogue.announce(announcement("t-1", 5, 1));
-    catalogue.merge(Heard {
+    catalogue.merge(KeeperGossip {
         targets: vec![leaving("t-1", 5, 2), announcement("t-2", 5, 1)],
         gateways: Vec::new(),
     });
@@ -211,7 +211,7 @@
         address: "10.0.0.8:7".parse().unwrap(),
         data_centre: "north".parse().unwrap(),
     };
-    catalogue.merge(Heard {
+    catalogue.merge(KeeperGossip {
         targets: Vec::new(),
         gateways: vec![other],
     });
--- a/crates/auburnbridge_messages/src/lib.rs
+++ b/crates/auburnbridge_messages/src/lib.rs
@@ -53,7 +53,8 @@
     /// Between entries, one way: the sender's evidence about suspected targets.
     Evidence(Vec<ServiceEvidence>),
     /// Between entries, one way: announcements that are new to the sender.
-    Rumours {
+    #[strum(serialize = "rumours")]
+    EntryGossip {
         /// Announcements of targets.
         targets: Vec<Announcement>,
         /// Announcements of entries.
@@ -70,9 +71,10 @@
     /// To the leading keeper: read the published document.
     ReadPublished,
     /// From a gateway to a keeper: wait for a change of the document or the targets (long poll).
-    Watch(Watch),
+    Watch(WatchRequest),
     /// Between keepers, one way: announcements and gateways that are new to the sender.
-    Heard(Heard),
+    #[strum(serialize = "heard")]
+    KeeperGossip(KeeperGossip),
     /// Between keepers: fetch all known targets.
     FetchTargets,
 }
@@ -88,7 +90,7 @@
 
 /// A long poll that states what the gateway has, so that the reply holds only what is newer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Watch {
+pub struct WatchRequest {
     /// Version of the published document that the gateway has.
     pub version: Option<ConfigVersion>,
     /// Position of the gateway's target list.
@@ -101,9 +103,9 @@
     pub data_centre: DataCentre,
 }
 
-/// Reply to a [`Watch`].
+/// Reply to a [`WatchRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Watched {
+pub struct WatchReply {
     /// The published document, if newer than the gateway's.
     pub document: Option<VersionedDocument>,
     /// Position of the list after applying `targets`.
@@ -131,7 +133,7 @@
 
 /// Announcements and gateways that a keeper passes on to other keepers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct KeeperGossip {
     /// Announcements of targets.
     pub targets: Vec<Announcement>,
     /// Gateways that watch the sender.
@@ -141,15 +143,15 @@
 /// Compresses a configuration document for the log and the network.
 ///
 /// JSON shrinks to about a quarter.
-pub fn pack_document(document: &[u8]) -> Vec<u8> {
+pub fn compress_document(document: &[u8]) -> Vec<u8> {
     lz4_flex::compress_prepend_size(document)
 }
 
-/// Decompresses the output of [`pack_document`].
+/// Decompresses the output of [`compress_document`].
 ///
 /// Returns [`CodecError::Malformed`] if the data is corrupt.
-pub fn unpack_document(packed: &[u8]) -> Result<Vec<u8>, CodecError> {
-    lz4_flex::decompress_size_prepended(packed)
+pub fn decompress_document(compressed: &[u8]) -> Result<Vec<u8>, CodecError> {
+    lz4_flex::decompress_size_prepended(compressed)
         .map_err(|error| CodecError::Malformed(error.to_string()))
 }
 
@@ -188,7 +190,7 @@
     /// The published document in force when the request arrived.
     Document(Option<VersionedDocument>),
     /// What is newer than the state of the gateway.
-    Watched(Watched),
+    Watched(WatchReply),
     /// All known targets, including departed ones.
     Targets(Vec<Announcement>),
     /// Next step of the anti-entropy exchange of targets.
