--- a/crates/auburnbridge_keeper/src/control.rs
+++ b/crates/auburnbridge_keeper/src/control.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 
 use auburnbridge_caller::{Disconnect, Service};
-use auburnbridge_config::Publish;
+use auburnbridge_config::VersionedDocument;
 use auburnbridge_http::{Request, Response};
-use auburnbridge_membership::{Announcement, State, Verdict};
-use auburnbridge_messages::{pack_document, unpack_document};
+use auburnbridge_membership::{AnnouncedState, Announcement, Verdict};
+use auburnbridge_messages::{compress_document, decompress_document};
 use auburnbridge_routing::{CallError, ControlCall, Dialect, PublishedDocument};
 use auburnbridge_telemetry::ProcessMetrics;
 use auburnbridge_types::{BoxFuture, Incarnation, Millis, TargetId};
@@ -62,9 +62,9 @@
 
     async fn publish(&self, document: PublishedDocument) -> Response {
         let version = document.version;
-        let publish = Publish {
+        let publish = VersionedDocument {
             version,
-            document: pack_document(&document.bytes).into(),
+            document: compress_document(&document.bytes).into(),
         };
         match self.group.publish(publish, GROUP_TIMEOUT).await {
             Ok(()) => {
@@ -87,7 +87,7 @@
                 return text(503, "no quorum answered in time");
             }
         };
-        match unpack_document(&document.document) {
+        match decompress_document(&document.document) {
             Ok(bytes) => json(bytes),
             Err(error) => {
                 warn!(version = document.version.0, error:% = error; "configuration can't be unpacked");
@@ -97,7 +97,7 @@
     }
 
     async fn announce(&self, announcement: Announcement) -> Response {
-        if announcement.state == State::Leaving {
+        if announcement.state == AnnouncedState::Leaving {
             return self.record_departure(announcement).await;
         }
         match self.catalogue.announce(announcement.clone()) {
--- a/crates/auburnbridge_keeper/tests/catalogue.rs
+++ b/crates/auburnbridge_keeper/tests/catalogue.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 
 use async_std::task::block_on;
-use auburnbridge_config::Publish;
+use auburnbridge_config::VersionedDocument;
 use auburnbridge_keeper::{
     CachedView, Catalogue, CommitObserver, LeavingTarget, ViewCache, read_view,
 };
-use auburnbridge_membership::{Announcement, State, Verdict};
-use auburnbridge_messages::{GatewayLocation, Heard, Watch, Watched};
+use auburnbridge_membership::{AnnouncedState, Announcement, Verdict};
+use auburnbridge_messages::{GatewayLocation, KeeperGossip, WatchReply, WatchRequest};
 use auburnbridge_types::{
     Clock, ConfigVersion, Incarnation, Millis, PausedClock, Sequence, Slots, TargetId, Timestamp,
     VmId,
@@ -26,13 +26,13 @@
         incarnation: Incarnation(incarnation),
         sequence: Sequence(sequence),
         slots: Slots(3),
-        state: State::Ready,
+        state: AnnouncedState::Ready,
     }
 }
 
 fn leaving(target: &str, incarnation: u64, sequence: u64) -> Announcement {
     Announcement {
-        state: State::Leaving,
+        state: AnnouncedState::Leaving,
         ..announcement(target, incarnation, sequence)
     }
 }
@@ -45,16 +45,16 @@
     target.parse().unwrap()
 }
 
-fn document(version: u64, bytes: &[u8]) -> Publish {
-    Publish {
+fn document(version: u64, bytes: &[u8]) -> VersionedDocument {
+    VersionedDocument {
         version: ConfigVersion(version),
         document: bytes.into(),
     }
 }
 
 /// Reply to a gateway whose last reply was `earlier`.
-fn watch(catalogue: &Catalogue, earlier: Option<&Watched>) -> Watched {
-    let watch = Watch {
+fn watch(catalogue: &Catalogue, earlier: Option<&WatchReply>) -> WatchReply {
+    let watch = WatchRequest {
         version: earlier.and_then(|watched| Some(watched.document.as_ref()?.version)),
         position: earlier.map(|watched| watched.position),
         wait: Millis(0),
@@ -65,8 +65,8 @@
     block_on(catalogue.watch(&vm, watch))
 }
 
-fn targets_and_states(watched: &Watched) -> Vec<(&str, State)> {
-    let mut targets: Vec<(&str, State)> = watched
+fn targets_and_states(watched: &WatchReply) -> Vec<(&str, AnnouncedState)> {
+    let mut targets: Vec<(&str, AnnouncedState)> = watched
         .targets
         .iter()
         .map(|target| (target.target.as_str(), target.state))
@@ -87,13 +87,19 @@
     let first = watch(&catalogue, None);
     assert_eq!(
         targets_and_states(&first),
-        [("t-1", State::Ready), ("t-2", State::Leaving)]
+        [
+            ("t-1", AnnouncedState::Ready),
+            ("t-2", AnnouncedState::Leaving)
+        ]
     );
     // A renewal is not a change.
     catalogue.announce(announcement("t-1", 5, 2));
     catalogue.announce(announcement("t-3", 5, 1));
     let second = watch(&catalogue, Some(&first));
-    assert_eq!(targets_and_states(&second), [("t-3", State::Ready)]);
+    assert_eq!(
+        targets_and_states(&second),
+        [("t-3", AnnouncedState::Ready)]
+    );
     assert_eq!(targets_and_states(&watch(&catalogue, Some(&second))), []);
 }
 
@@ -111,7 +117,7 @@
     let watched = watch(&old, None);
     assert_eq!(
         targets_and_states(&watch(&new, Some(&watched))),
-        [("t-2", State::Ready)]
+        [("t-2", AnnouncedState::Ready)]
     );
 }
 
@@ -161,13 +167,16 @@
     let clock = PausedClock::new(START);
     let catalogue = catalogue(&clock);
     catalogue.announce(announcement("t-1", 5, 1));
-    catalogue.merge(Heard {
+    catalogue.merge(KeeperGossip {
         targets: vec![leaving("t-1", 5, 2), announcement("t-2", 5, 1)],
         gateways: Vec::new(),
     });
     assert_eq!(
         targets_and_states(&watch(&catalogue, None)),
-        [("t-1", State::Ready), ("t-2", State::Ready)]
+        [
+            ("t-1", AnnouncedState::Ready),
+            ("t-2", AnnouncedState::Ready)
+        ]
     );
 }
 
@@ -209,7 +218,7 @@
         address: "10.0.0.8:7".parse().unwrap(),
         data_centre: "north".parse().unwrap(),
     };
-    catalogue.merge(Heard {
+    catalogue.merge(KeeperGossip {
         targets: Vec::new(),
         gateways: vec![other],
     });
--- a/crates/auburnbridge_operator/tests/operator.rs
+++ b/crates/auburnbridge_operator/tests/operator.rs
@@ -5,7 +5,7 @@
 
 use async_std::sync::Mutex;
 use async_std::task::block_on;
-use auburnbridge_config::{Config, Edit, EditReply, HistoryEntry};
+use auburnbridge_config::{Edit, EditReply, HistoryEntry, RulesState};
 use auburnbridge_operator::{
     ConfigStore, FleetStatus, KeyDigest, MAX_LINE_EDIT_BYTES, OperatorKey, OperatorKeys,
     OperatorServer, RulesInForce, StoreError, TargetStatus, VmStatus, server,
@@ -25,7 +25,7 @@
 /// Store that applies edits directly to the state machine, without a log.
 #[derive(Default)]
 struct FakeStore {
-    config: Mutex<Config>,
+    config: Mutex<RulesState>,
     submitted: AtomicU64,
     /// If set, reads return these rules although the state machine has a later revision.
     stale_rules: Mutex<Option<RulesInForce>>,
