--- a/crates/auburnbridge_gateway/tests/forwarding/targets.rs
+++ b/crates/auburnbridge_gateway/tests/forwarding/targets.rs
@@ -10,10 +10,10 @@
 use auburnbridge_caller::{Lifecycle, LimitSource, Listener, ListenerOptions};
 use auburnbridge_gateway::{CallerService, Gateway, GatewayDependencies, ServiceTable};
 use auburnbridge_http::{Connection, Limits, MemoryBudget, Request, RequestInfo, Response};
-use auburnbridge_membership::{Announcement, State};
+use auburnbridge_membership::{AnnouncedState, Announcement};
 use auburnbridge_policy::RequestClass;
 use auburnbridge_policy::balance::{
-    BalancerOptions, DispatcherOptions, GatewayPlace, SendBudgetOptions,
+    BalancerOptions, DispatcherOptions, GatewayHost, ResendBudgetOptions,
 };
 use auburnbridge_routing::{
     CallError, CallerLimits, ControlCall, Destination, Dialect, DocumentError, HeaderNames,
@@ -142,7 +142,7 @@
         incarnation: Incarnation(1),
         sequence: Sequence(1),
         slots: Slots(2),
-        state: State::Ready,
+        state: AnnouncedState::Ready,
     }
 }
 
@@ -152,9 +152,9 @@
         prefix: prefix.to_owned(),
         class,
         priority: Priority(0),
-        objective: Millis(800),
+        latency_objective: Millis(800),
         timeout: Millis(1_200),
-        attempts: 2,
+        max_attempts: 2,
         destinations: vec![Destination {
             service: "stock".parse().unwrap(),
             weight: Weight(1),
@@ -188,14 +188,14 @@
     let clock: Arc<dyn Clock> = Arc::new(RuntimeClock);
     let options = DispatcherOptions {
         balancer: BalancerOptions {
-            own: GatewayPlace {
+            own: GatewayHost {
                 vm: "gateway-1".parse().unwrap(),
                 data_centre: "north".parse().unwrap(),
             },
             floor_share: 0.7,
             seed: 1,
         },
-        sends: SendBudgetOptions {
+        resend_budget: ResendBudgetOptions {
             ratio: 0.2,
             allowance: 60.0,
             window: Millis(10_000),
--- a/crates/auburnbridge_keeper/src/catalogue.rs
+++ b/crates/auburnbridge_keeper/src/catalogue.rs
@@ -8,9 +8,11 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-use auburnbridge_config::Publish;
-use auburnbridge_membership::{Announcement, Members, State, Verdict};
-use auburnbridge_messages::{GatewayLocation, Heard, ListPosition, Watch, Watched};
+use auburnbridge_config::VersionedDocument;
+use auburnbridge_membership::{AnnouncedState, Announcement, TargetMembership, Verdict};
+use auburnbridge_messages::{
+    GatewayLocation, KeeperGossip, ListPosition, WatchReply, WatchRequest,
+};
 use auburnbridge_types::{Clock, ConfigVersion, Incarnation, Millis, TargetId, Timestamp, VmId};
 use event_listener::Event;
 use futures_lite::FutureExt;
@@ -35,12 +37,12 @@
 struct CatalogueState {
     /// Random number of this process; positions in another process's list don't apply here.
     boot: u64,
-    members: Members,
+    members: TargetMembership,
     /// Number of changes to the list of targets so far.
     changes: u64,
     /// The most recent changes, oldest first.
     recent_changes: VecDeque<Announcement>,
-    document: Option<Publish>,
+    document: Option<VersionedDocument>,
     /// Latest time at which the applied state was known to be complete.
     confirmed_at: Option<Timestamp>,
     keepers: Vec<VmId>,
@@ -72,7 +74,7 @@
             clock,
             state: Mutex::new(CatalogueState {
                 boot,
-                members: Members::default(),
+                members: TargetMembership::default(),
                 changes: 0,
                 recent_changes: VecDeque::new(),
                 document: None,
@@ -118,9 +120,9 @@
                 // A later incarnation has started, so this one gets no more requests.
                 LeavingTarget::Departed
             }
-            Some(known) if known.state == State::Leaving => LeavingTarget::Departed,
+            Some(known) if known.state == AnnouncedState::Leaving => LeavingTarget::Departed,
             Some(known) => LeavingTarget::Present(Announcement {
-                state: State::Leaving,
+                state: AnnouncedState::Leaving,
                 ..known.clone()
             }),
         }
@@ -134,18 +136,19 @@
             .get(&announcement.service, &announcement.target);
         known.is_some_and(|known| {
             known.incarnation > announcement.incarnation
-                || (known.incarnation == announcement.incarnation && known.state == State::Leaving)
+                || (known.incarnation == announcement.incarnation
+                    && known.state == AnnouncedState::Leaving)
         })
     }
 
     /// Merges announcements and gateways received from another keeper.
-    pub fn merge(&self, heard: Heard) {
+    pub fn merge(&self, heard: KeeperGossip) {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let before = state.changes;
         for announcement in heard.targets {
             // Departures take effect only through the log.
-            if announcement.state == State::Ready {
+            if announcement.state == AnnouncedState::Ready {
                 state.apply_announcement(now, announcement);
             }
         }
@@ -160,12 +163,12 @@
     }
 
     /// Takes the announcements and gateways that have not been sent to the other keepers yet.
-    pub fn take_unsent(&self) -> Option<Heard> {
+    pub fn take_unsent(&self) -> Option<KeeperGossip> {
         let mut state = self.state.lock();
         if state.unsent_targets.is_empty() && state.unsent_gateways.is_empty() {
             return None;
         }
-        Some(Heard {
+        Some(KeeperGossip {
             targets: std::mem::take(&mut state.unsent_targets),
             gateways: state
                 .unsent_gateways
@@ -226,7 +229,7 @@
 
     /// Waits until there is something that the gateway lacks, at most for `watch.wait`, and returns
     /// it (long poll).
-    pub async fn watch(&self, vm: &VmId, watch: Watch) -> Watched {
+    pub async fn watch(&self, vm: &VmId, watch: WatchRequest) -> WatchReply {
         let gateway = GatewayLocation {
             vm: vm.clone(),
             address: watch.address,
@@ -288,7 +291,7 @@
         verdict
     }
 
-    fn has_updates(&self, watch: &Watch) -> bool {
+    fn has_updates(&self, watch: &WatchRequest) -> bool {
         let is_list_current = watch
             .position
             .is_some_and(|position| position == self.position());
@@ -306,13 +309,13 @@
         }
     }
 
-    fn reply(&self, now: Timestamp, watch: &Watch) -> Watched {
+    fn reply(&self, now: Timestamp, watch: &WatchRequest) -> WatchReply {
         let document = self
             .document
             .as_ref()
             .filter(|document| Some(document.version) > watch.version)
             .cloned();
-        Watched {
+        WatchReply {
             document,
             position: self.position(),
             targets: self.targets_since(watch.position),
@@ -344,7 +347,7 @@
 }
 
 impl CommitObserver for Catalogue {
-    fn published(&self, published: &Publish) {
+    fn published(&self, published: &VersionedDocument) {
         {
             let mut state = self.state.lock();
             // The log is applied from its start, so the cached document may be newer than its first
--- a/crates/auburnbridge_keeper/src/core.rs
+++ b/crates/auburnbridge_keeper/src/core.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use auburnbridge_config::{Delta, HistoryEntry, Publish, PublishReply};
+use auburnbridge_config::{Delta, HistoryEntry, PublishReply, VersionedDocument};
 use auburnbridge_log::{
     Input, LogIndex, Member, MemberChange, MemberRole, Members, Message, Output, Persist,
     RejectReason, Replica, ReplicaId, Status, Token,
@@ -49,7 +49,7 @@
     /// acknowledged before the request.
     ReadPublished {
         /// Receives the version and the document, if one is in force.
-        reply: Sender<Result<Option<Publish>, RejectReason>>,
+        reply: Sender<Result<Option<VersionedDocument>, RejectReason>>,
     },
     /// A request for the changes of the rules since a revision.
     RulesDelta {
@@ -93,7 +93,7 @@
 /// Receives notifications of committed changes on the [`Core`] thread. Its methods must not block.
 pub trait CommitObserver: Send + Sync {
     /// Called when a published document takes effect.
-    fn published(&self, published: &Publish);
+    fn published(&self, published: &VersionedDocument);
 
     /// Called when the departure of a target is committed.
     fn departed(&self, announcement: &Announcement);
@@ -133,7 +133,7 @@
 enum PendingReply {
     Proposal(Sender<Result<StateReply, RejectReason>>),
     Change(Sender<Result<(), RejectReason>>),
-    Read(Sender<Result<Option<Publish>, RejectReason>>),
+    Read(Sender<Result<Option<VersionedDocument>, RejectReason>>),
 }
 
 /// Error that ends the thread.
@@ -439,7 +439,7 @@
                 }
                 info!("keeper snapshot installed index={}", meta.index);
             }
-            Output::SnapshotWanted { index } => {
+            Output::TakeSnapshot { index } => {
                 let data = self.state.snapshot().into();
                 return Ok(self.step(Input::SnapshotTaken { index, data }));
             }
--- a/crates/auburnbridge_keeper/src/group_client.rs
+++ b/crates/auburnbridge_keeper/src/group_client.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use auburnbridge_config::Publish;
+use auburnbridge_config::VersionedDocument;
 use auburnbridge_membership::Announcement;
 use auburnbridge_messages::{self as messages, Reply, Request};
 use auburnbridge_peer::Transport;
@@ -40,7 +40,11 @@
 impl GroupClient {
     /// Publishes a document. Repeating the call is harmless, since versions decide which document
     /// is in force.
-    pub async fn publish(&self, publish: Publish, timeout: Millis) -> Result<(), Unavailable> {
+    pub async fn publish(
+        &self,
+        publish: VersionedDocument,
+        timeout: Millis,
+    ) -> Result<(), Unavailable> {
         let command = || StateCommand::Publish(publish.clone());
         let request = Request::Publish(publish.clone());
         match self.submit(command, &request, timeout).await? {
@@ -61,7 +65,7 @@
 
     /// Reads the document in force. The result reflects every publication that was acknowledged
     /// before the call.
-    pub async fn read(&self, timeout: Millis) -> Result<Option<Publish>, Unavailable> {
+    pub async fn read(&self, timeout: Millis) -> Result<Option<VersionedDocument>, Unavailable> {
         let reading = async {
             loop {
                 let reply = match self.server.read_published().await {
--- a/crates/auburnbridge_messages/src/lib.rs
+++ b/crates/auburnbridge_messages/src/lib.rs
@@ -6,7 +6,7 @@
 
 use std::net::SocketAddr;
 
-use auburnbridge_config::{Delta, Edit, EditReply, Publish, PublishReply};
+use auburnbridge_config::{Delta, Edit, EditReply, PublishReply, VersionedDocument};
 use auburnbridge_ledger::{Command, Reply as LedgerReply};
 use auburnbridge_log::{Member, Message, ReplicaId};
 use auburnbridge_membership::{Announcement, EntryAnnouncement, SyncMessage};
@@ -53,7 +53,8 @@
     /// Between entries, one way: the sender's evidence about suspected targets.
     Evidence(Vec<ServiceEvidence>),
     /// Between entries, one way: announcements that are new to the sender.
-    Rumours {
+    #[strum(serialize = "rumours")]
+    EntryGossip {
         /// Announcements of targets.
         targets: Vec<Announcement>,
         /// Announcements of entries.
@@ -64,15 +65,16 @@
     /// Between entries: one step of the anti-entropy exchange of entries.
     SyncEntries(SyncMessage<EntryAnnouncement>),
     /// To the leading keeper: publish a configuration document.
-    Publish(Publish),
+    Publish(VersionedDocument),
     /// To the leading keeper: record that a target has left.
     Depart(Announcement),
     /// To the leading keeper: read the published document.
     ReadPublished,
     /// From a gateway to a keeper: wait for a change of the document or the targets (long poll).
-    Watch(Watch),
+    Watch(WatchRequest),
     /// Between keepers, one way: announcements and gateways that are new to the sender.
-    Heard(Heard),
+    #[strum(serialize = "heard")]
+    KeeperGossip(KeeperGossip),
     /// Between keepers: fetch all known targets.
     FetchTargets,
 }
@@ -88,7 +90,7 @@
 
 /// A long poll that states what the gateway has, so that the reply holds only what is newer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Watch {
+pub struct WatchRequest {
     /// Version of the published document that the gateway has.
     pub version: Option<ConfigVersion>,
     /// Position of the gateway's target list.
@@ -101,11 +103,11 @@
     pub data_centre: DataCentre,
 }
 
-/// Reply to a [`Watch`].
+/// Reply to a [`WatchRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Watched {
+pub struct WatchReply {
     /// The published document, if newer than the gateway's.
-    pub document: Option<Publish>,
+    pub document: Option<VersionedDocument>,
     /// Position of the list after applying `targets`.
     pub position: ListPosition,
     /// Changed targets; all targets if the position can't be resumed, such as another keeper's.
@@ -131,7 +133,7 @@
 
 /// Announcements and gateways that a keeper passes on to other keepers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct KeeperGossip {
     /// Announcements of targets.
     pub targets: Vec<Announcement>,
     /// Gateways that watch the sender.
@@ -141,15 +143,15 @@
 /// Compresses a configuration document for the log and the network.
 ///
 /// JSON shrinks to about a quarter.
-pub fn pack_document(document: &[u8]) -> Vec<u8> {
+pub fn compress_document(document: &[u8]) -> Vec<u8> {
     lz4_flex::compress_prepend_size(document)
 }
 
-/// Decompresses the output of [`pack_document`].
+/// Decompresses the output of [`compress_document`].
 ///
 /// Returns [`CodecError::Malformed`] if the data is corrupt.
-pub fn unpack_document(packed: &[u8]) -> Result<Vec<u8>, CodecError> {
-    lz4_flex::decompress_size_prepended(packed)
+pub fn decompress_document(compressed: &[u8]) -> Result<Vec<u8>, CodecError> {
+    lz4_flex::decompress_size_prepended(compressed)
         .map_err(|error| CodecError::Malformed(error.to_string()))
 }
 
@@ -186,9 +188,9 @@
     /// The reply to a published document, after a quorum has synced it.
     Published(PublishReply),
     /// The published document in force when the request arrived.
-    Document(Option<Publish>),
+    Document(Option<VersionedDocument>),
     /// What is newer than the state of the gateway.
-    Watched(Watched),
+    Watched(WatchReply),
     /// All known targets, including departed ones.
     Targets(Vec<Announcement>),
     /// Next step of the anti-entropy exchange of targets.
--- a/crates/auburnbridge_store/tests/recovery.rs
+++ b/crates/auburnbridge_store/tests/recovery.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use auburnbridge_log::{
-    HardState, LogIndex, Members, Payload, Persist, Record, Recovered, ReplicaId, Snapshot,
+    HardState, LogIndex, Members, Payload, Persist, Record, RecoveredState, ReplicaId, Snapshot,
     SnapshotMeta, Term,
 };
 use auburnbridge_store::{Files, MemoryFiles, OsFiles, Store, StoreError};
@@ -138,7 +138,7 @@
     }
 }
 
-fn open(files: &MemoryFiles, rng: &mut SeededRng) -> Result<(Store, Recovered), StoreError> {
+fn open(files: &MemoryFiles, rng: &mut SeededRng) -> Result<(Store, RecoveredState), StoreError> {
     let random = || (u128::from(rng.next()) << 64) | u128::from(rng.next());
     let (mut store, recovered) = Store::open_files(Box::new(files.clone()), random)?;
     // With small segments, the crash points include the creation and removal of segments.
@@ -171,7 +171,7 @@
 }
 
 /// Checks that the recovered state has every synced change and nothing that was never written.
-fn check_recovered(recovered: &Recovered, before: &Model, after: &Model) {
+fn check_recovered(recovered: &RecoveredState, before: &Model, after: &Model) {
     let hard = (recovered.hard_state.term, recovered.hard_state.vote);
     let known = [before, after].map(|model| (model.hard.term, model.hard.vote));
     assert!(
