--- a/crates/auburnbridge_gateway/src/exchange.rs
+++ b/crates/auburnbridge_gateway/src/exchange.rs
@@ -43,10 +43,12 @@
     ServerError(Response),
 }
 
-/// Outcome of a send, and whether the request reached the target.
+/// Outcome of a send, and whether it counts as one of the sends that the route allows.
 pub(crate) struct SendResult {
     pub(crate) outcome: Outcome,
-    pub(crate) reached_target: bool,
+    /// False if the request certainly wasn't run for another reason than a shed: it was not sent,
+    /// or the process at the address is another target (status 421).
+    pub(crate) counts_as_send: bool,
 }
 
 impl Exchanger<'_> {
@@ -70,7 +72,7 @@
         }
         SendResult {
             outcome,
-            reached_target: !is_unsent,
+            counts_as_send: !is_unsent,
         }
     }
 
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Records a finding if the target has not responded after several times the average response
+    /// Records a finding if the target has not responded after several times the average answer
     /// time, while the request continues; otherwise the target would get more requests until the
     /// deadline. The future never completes.
     async fn watch_for_silence<T>(self, assignment: &Assignment, was_silent: &AtomicBool) -> T {
--- a/crates/auburnbridge_gateway/src/feed.rs
+++ b/crates/auburnbridge_gateway/src/feed.rs
@@ -2,8 +2,9 @@
 //!
 //! A keeper that is partitioned from its group can't know of recent changes. Each reply states when
 //! the keeper's state was last known to be complete; if that is too long ago, or no reply arrives,
-//! the feed switches to another keeper. The contents of a stale reply are applied nevertheless, since
-//! versions and departures only move forward.
+//! the gateway switches to another keeper. The contents of a stale reply are applied nevertheless:
+//! an older version of the configuration never replaces a newer one, and an older announcement
+//! neither replaces a newer one nor undoes a departure.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -20,7 +21,7 @@
 use parking_lot::Mutex;
 
 use crate::gateway::Gateway;
-use crate::neighbours::Neighbours;
+use crate::neighbours::GatewayReporter;
 
 /// Time for which a keeper holds a watch request open if nothing changes.
 const WATCH_TIMEOUT: Millis = Millis(500);
@@ -32,12 +33,12 @@
 /// Delay before the next keeper is tried.
 const RETRY_DELAY: Millis = Millis(50);
 
-/// Keeps a gateway up to date by watching the keepers.
-pub struct Feed {
+/// Keeps a gateway up to date by watching one keeper at a time.
+pub struct KeeperWatcher {
     /// Gateway that is kept up to date.
     pub gateway: Arc<Gateway>,
     /// Exchange of reports with the other gateways.
-    pub neighbours: Arc<Neighbours>,
+    pub reporter: Arc<GatewayReporter>,
     /// Transport for calls to keepers.
     pub transport: Arc<dyn Transport>,
     /// Source of time.
@@ -58,7 +59,7 @@
     pub known_keepers: Mutex<BTreeSet<VmId>>,
 }
 
-impl Feed {
+impl KeeperWatcher {
     /// Whether the gateway has been brought up to date at least once.
     pub fn has_synced(&self) -> bool {
         self.has_synced.load(Ordering::SeqCst)
@@ -66,15 +67,15 @@
 
     /// Watches one keeper after another until the process ends.
     pub async fn run(self: Arc<Self>) {
-        let mut turn: usize = rand::random_range(0..64);
+        let mut next_candidate: usize = rand::random_range(0..64);
         loop {
             let candidates = self.candidates();
-            let Some(keeper) = candidates.get(turn % candidates.len().max(1)) else {
+            let Some(keeper) = candidates.get(next_candidate % candidates.len().max(1)) else {
                 self.clock.sleep(RETRY_DELAY).await;
                 continue;
             };
-            self.follow(keeper).await;
-            turn += 1;
+            self.watch(keeper).await;
+            next_candidate += 1;
         }
     }
 
@@ -90,7 +91,7 @@
     }
 
     /// Watches a keeper for as long as it replies and is up to date.
-    async fn follow(&self, keeper: &PeerAddress) {
+    async fn watch(&self, keeper: &PeerAddress) {
         let mut position = None;
         loop {
             let request = Request::Watch(WatchRequest {
@@ -127,12 +128,16 @@
                     "keeper followed"
                 );
             }
-            let is_fresh = reply.confirmed_before.is_some_and(|age| age < STALE_AGE);
+            let confirmed_before = reply.confirmed_before;
+            let is_fresh = confirmed_before.is_some_and(|age| age < STALE_AGE);
             position = Some(self.apply(reply));
             if is_fresh {
                 self.has_synced.store(true, Ordering::SeqCst);
             } else {
-                debug!("state of keeper {} is stale", keeper.vm);
+                debug!(
+                    "state of keeper {} is stale: confirmed_before={confirmed_before:?}, limit {STALE_AGE}",
+                    keeper.vm
+                );
                 self.clock.sleep(RETRY_DELAY).await;
                 return;
             }
@@ -160,7 +165,7 @@
             }
         }
         self.gateway.services().apply_targets(&reply.targets);
-        let others = self.neighbours.set_gateways(reply.gateways);
+        let others = self.reporter.set_gateways(reply.gateways);
         self.gateway.services().set_gateways(others);
         self.known_keepers.lock().extend(reply.keepers);
         reply.position
--- a/crates/auburnbridge_gateway/src/forward.rs
+++ b/crates/auburnbridge_gateway/src/forward.rs
@@ -16,7 +16,8 @@
 use crate::gateway::{Gateway, Incoming};
 use crate::service_dispatcher::{Assignment, ServiceDispatcher};
 
-/// A request is given up after more than this many sends that did not reach their target.
+/// A request is given up after more than this many sends that don't count (see
+/// [`SendResult::counts_as_send`]).
 const MAX_UNSENT: u32 = 8;
 
 /// Forwards one request, to several targets if needed.
@@ -24,10 +25,12 @@
     exchanger: Exchanger<'a>,
     disconnect: &'a Disconnect,
     tried: Vec<BalancedKey>,
-    /// Number of sends that reached a target.
+    /// Number of sends that count, hedges included.
     sends: u32,
+    /// Number of sends that don't count.
     unsent: u32,
     may_have_run: bool,
+    /// Failure of the latest send with [`Outcome::MayHaveRun`]; `NoRoom` before the first one.
     failure: Failure,
 }
 
@@ -122,9 +125,11 @@
             return self.record_send(first.await);
         };
         self.tried.push(hedge.key());
-        // The first send counts whether or not its outcome is awaited.
+        // Two sends are counted: one here, whether or not its outcome is awaited, and the one whose
+        // result is returned in `record_send`.
         self.sends += 1;
         let mut hedge = Box::pin(exchanger.send(hedge));
+        // The flag tells whether the first send completed before the hedge.
         let either = async { (true, (&mut first).await) }
             .or(async { (false, (&mut hedge).await) })
             .await;
@@ -149,7 +154,7 @@
     }
 
     fn record_send(&mut self, result: SendResult) -> Outcome {
-        if result.reached_target {
+        if result.counts_as_send {
             self.sends += 1;
         } else {
             self.unsent += 1;
@@ -201,6 +206,7 @@
                 self.log_request(response.status, "target-error", None);
                 return response;
             }
+            // Guards against telling the caller that the request did not run.
             let failure = if self.failure == Failure::NoRoom {
                 Failure::Broken
             } else {
--- a/crates/auburnbridge_gateway/src/gateway.rs
+++ b/crates/auburnbridge_gateway/src/gateway.rs
@@ -59,7 +59,8 @@
 
 /// State of a gateway.
 ///
-/// Lock order: `splits`, `poison` and `unreported_crashes` are never held together with another lock.
+/// Lock order: `splits` before the locks of `services`. `poison` and `unreported_crashes` are never
+/// held together with another lock.
 pub struct Gateway {
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) headers: HeaderNames,
@@ -85,7 +86,7 @@
     pub(crate) arrived: Timestamp,
     /// Arrival time plus the route's timeout, or the caller's deadline if that is earlier.
     pub(crate) deadline: Timestamp,
-    /// Time until which a response is of full use to the caller.
+    /// Instant until which a response is of full use to the caller.
     pub(crate) objective: Timestamp,
 }
 
@@ -171,8 +172,8 @@
         self.poison.lock().is_poisoned(now, digest)
     }
 
-    /// Limits of a target's response. It may be delimited by the end of its connection, since targets
-    /// seal their responses.
+    /// Limits of a target's response. It may be delimited by the end of its connection, since
+    /// targets seal their responses. Only the presence of the seal is checked.
     pub(crate) fn response_limits(&self) -> Limits {
         Limits::default()
             .with_body_bytes(RESPONSE_BODY_LIMIT)
@@ -243,7 +244,8 @@
     failure.to_response(retry_after)
 }
 
-/// Digest that identifies a request across the attempts of its caller, whose attempt ids differ.
+/// Digest of host, method, path and body, which identifies a request across the attempts of its
+/// caller, whose attempt ids differ.
 pub fn request_digest(request: &Request) -> BodyDigest {
     let mut hasher = Sha256::new();
     let host = request.headers.get("Host").unwrap_or_default();
--- a/crates/auburnbridge_gateway/src/lib.rs
+++ b/crates/auburnbridge_gateway/src/lib.rs
@@ -2,8 +2,9 @@
 //!
 //! Callers send no idempotency key, so at-most-once execution is guaranteed by the one gateway that
 //! receives a request: it retries on another target only if the previous target certainly did not
-//! run the request. The gateway watches the keepers for routes and targets, and reports its findings
-//! about targets to the other gateways.
+//! run the request. The keepers are the replicated group that stores the configuration and the
+//! targets. The gateway watches them for both, and reports its findings about targets to the other
+//! gateways.
 
 mod exchange;
 mod failure;
@@ -15,9 +16,9 @@
 mod service_dispatcher;
 mod service_table;
 
-pub use feed::Feed;
+pub use feed::KeeperWatcher;
 pub use gateway::{CallerService, Gateway, GatewayDependencies, request_digest};
-pub use neighbours::{GatewayReport, Neighbours};
+pub use neighbours::{GatewayReport, GatewayReporter};
 pub use run::{GatewayError, GatewayOptions, RunningGateway};
 pub use service_dispatcher::{Assignment, ServiceDispatcher};
 pub use service_table::ServiceTable;
--- a/crates/auburnbridge_gateway/src/neighbours.rs
+++ b/crates/auburnbridge_gateway/src/neighbours.rs
@@ -51,15 +51,15 @@
     pub load: Option<LoadReport>,
 }
 
-/// Exchanges reports with the other gateways.
-pub struct Neighbours {
+/// Exchanges reports with all other gateways, in all data centres.
+pub struct GatewayReporter {
     vm: VmId,
     data_centre: DataCentre,
     socket: UdpSocket,
     others: Mutex<Vec<GatewayLocation>>,
 }
 
-impl Neighbours {
+impl GatewayReporter {
     /// Binds the UDP socket for reports of other gateways.
     ///
     /// # Errors
@@ -81,7 +81,7 @@
     /// Replaces the set of running gateways, and returns all of them but this one.
     pub fn set_gateways(&self, mut gateways: Vec<GatewayLocation>) -> Vec<GatewayHost> {
         gateways.retain(|gateway| gateway.vm != self.vm);
-        let places = gateways
+        let hosts = gateways
             .iter()
             .map(|gateway| GatewayHost {
                 vm: gateway.vm.clone(),
@@ -89,15 +89,15 @@
             })
             .collect();
         *self.others.lock() = gateways;
-        places
+        hosts
     }
 
     /// Applies the reports of other gateways until the process ends.
     pub async fn receive(self: Arc<Self>, gateway: Arc<Gateway>) {
         let mut buf = vec![0; RECEIVE_BUFFER_BYTES];
         loop {
-            let length = match self.socket.recv_from(&mut buf).await {
-                Ok((length, _)) => length,
+            let (length, from) = match self.socket.recv_from(&mut buf).await {
+                Ok(received) => received,
                 Err(error) => {
                     // A datagram sent to a gateway that has ended makes a later receive fail.
                     debug!("failed to receive a datagram: {error}");
@@ -107,7 +107,9 @@
             };
             match codec::decode::<GatewayReport>(&buf[..length], DATAGRAM_LIMIT) {
                 Ok(report) => apply(&gateway, report),
-                Err(error) => debug!("discarded an invalid datagram: {error}"),
+                Err(error) => {
+                    debug!("discarded an invalid datagram of {length} bytes from {from}: {error}");
+                }
             }
         }
     }
@@ -223,7 +225,8 @@
         .ok()
 }
 
-/// Drops the elements that don't fit into a datagram. Logged, since the other gateways miss them.
+/// Drops the elements that don't fit into a datagram: findings, or targets with requests in flight.
+/// Logged, since the other gateways miss them.
 fn truncate_list<T>(list: &mut Vec<T>, max_len: usize, what: &str) {
     if list.len() > max_len {
         warn!(what = what, dropped = list.len() - max_len; "report shortened");
--- a/crates/auburnbridge_gateway/src/run.rs
+++ b/crates/auburnbridge_gateway/src/run.rs
@@ -25,9 +25,9 @@
 use log::info;
 use parking_lot::Mutex;
 
-use crate::feed::Feed;
+use crate::feed::KeeperWatcher;
 use crate::gateway::{CallerService, Gateway, GatewayDependencies};
-use crate::neighbours::Neighbours;
+use crate::neighbours::GatewayReporter;
 use crate::service_table::ServiceTable;
 
 /// Maximum number of pipelined requests of one connection that are handled concurrently.
@@ -36,10 +36,11 @@
 /// lost packet is retransmitted only after a second, by when another target is the better choice.
 const CONNECT_TIMEOUT: Millis = Millis(120);
 /// Longest idle time of a connection that is reused for an at-most-once request. Targets may drop
-/// idle connections silently after a third of a second.
+/// idle connections after a third of a second silently, that is, without a close that the gateway
+/// sees.
 const ONCE_MAX_IDLE: Millis = Millis(200);
-/// Idle time after which the gateway closes a connection to a target. Targets close idle connections
-/// after ten seconds.
+/// Idle time after which the gateway closes a connection to a target. Targets close their idle
+/// connections after ten seconds.
 const POOL_IDLE_TIMEOUT: Millis = Millis(4_000);
 /// Timeout for connecting to a keeper. It is short because another keeper may be reachable.
 const KEEPER_CONNECT_TIMEOUT: Millis = Millis(300);
@@ -71,7 +72,8 @@
     pub keeper_port: u16,
     /// Header names, paths and document formats of the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// Time that the load balancer needs to notice that the gateway is not ready.
+    /// Time that the platform's load balancer in front of the gateways needs to notice that the
+    /// gateway is not ready.
     pub balancer_lag: Millis,
     /// Longest time that in-flight requests get to complete after `balancer_lag`.
     pub shutdown_limit: Millis,
@@ -79,9 +81,10 @@
     pub body_memory: ByteSize,
     /// Maximum number of connections to one target.
     pub connections_per_target: usize,
-    /// Share of the targets that receive requests even if they are suspected to be failing.
+    /// Minimum share of the targets that aren't down to use: the least suspected ones are used up
+    /// to this share, except strongly suspected ones.
     pub floor_share: f64,
-    /// Budget for retries and hedged requests, that is, for sends beyond the first one of a request.
+    /// Budget for retries and hedges, that is, for sends beyond the first one of a request.
     pub resend_budget: ResendBudgetOptions,
     /// Address on which metrics are served; `None` serves none.
     pub metrics_address: Option<SocketAddr>,
@@ -118,7 +121,7 @@
         let clock: Arc<dyn Clock> = Arc::new(BootClock::new());
         let lifecycle = Arc::new(Lifecycle::default());
         let gateway = Arc::new(build_gateway(&options, &clock));
-        let neighbours = Neighbours::bind(
+        let reporter = GatewayReporter::bind(
             options.vm.clone(),
             options.data_centre.clone(),
             options.peer_address,
@@ -126,11 +129,11 @@
         .await
         .change_context(GatewayError)
         .attach_with(|| format!("can't listen on UDP {}", options.peer_address))?;
-        let neighbours = Arc::new(neighbours);
-        let feed = Arc::new(build_feed(&options, &gateway, &neighbours, &clock));
+        let reporter = Arc::new(reporter);
+        let watcher = Arc::new(build_watcher(&options, &gateway, &reporter, &clock));
         let readiness = Arc::new(Readiness {
             gateway: Arc::clone(&gateway),
-            feed: Arc::clone(&feed),
+            watcher: Arc::clone(&watcher),
             lifecycle: Arc::clone(&lifecycle),
             path: options.dialect.readiness_path(),
         });
@@ -168,9 +171,9 @@
             callers:% = options.caller_address;
             "gateway started"
         );
-        task::spawn(feed.run());
-        task::spawn(Arc::clone(&neighbours).receive(Arc::clone(&gateway)));
-        task::spawn(neighbours.broadcast(Arc::clone(&gateway)));
+        task::spawn(watcher.run());
+        task::spawn(Arc::clone(&reporter).receive(Arc::clone(&gateway)));
+        task::spawn(reporter.broadcast(Arc::clone(&gateway)));
         task::spawn(maintain(gateway));
         Ok(Self {
             lifecycle,
@@ -229,14 +232,15 @@
     )
 }
 
-fn build_feed(
+fn build_watcher(
     options: &GatewayOptions,
     gateway: &Arc<Gateway>,
-    neighbours: &Arc<Neighbours>,
+    reporter: &Arc<GatewayReporter>,
     clock: &Arc<dyn Clock>,
-) -> Feed {
+) -> KeeperWatcher {
     let identity = PeerIdentity {
         vm: options.vm.clone(),
+        // Keepers accept watch requests only from the entry role, which gateways therefore use.
         role: Role::Entry,
     };
     let peer_options = Options::builder()
@@ -247,9 +251,9 @@
         .last_backoff(KEEPER_MAX_BACKOFF)
         .build();
     let transport: Arc<dyn Transport> = Arc::new(PlainTransport::new(identity, peer_options));
-    Feed {
+    KeeperWatcher {
         gateway: Arc::clone(gateway),
-        neighbours: Arc::clone(neighbours),
+        reporter: Arc::clone(reporter),
         transport,
         clock: Arc::clone(clock),
         dialect: Arc::clone(&options.dialect),
@@ -296,7 +300,7 @@
 /// Answers the platform's readiness checks.
 struct Readiness {
     gateway: Arc<Gateway>,
-    feed: Arc<Feed>,
+    watcher: Arc<KeeperWatcher>,
     lifecycle: Arc<Lifecycle>,
     path: &'static str,
 }
@@ -309,7 +313,7 @@
         if self.gateway.routes().is_none() {
             return Err("no configuration has arrived yet");
         }
-        if !self.feed.has_synced() && self.gateway.services().targets() == 0 {
+        if !self.watcher.has_synced() && self.gateway.services().targets() == 0 {
             return Err("neither targets nor a keeper that is up to date are known yet");
         }
         Ok(())
--- a/crates/auburnbridge_gateway/src/service_dispatcher.rs
+++ b/crates/auburnbridge_gateway/src/service_dispatcher.rs
@@ -110,18 +110,18 @@
         self.inner.lock().record_request(now, priority);
     }
 
-    /// Consumes one retry or hedged request from the resend budget; `false` if it is used up.
+    /// Takes a resend, for a retry or a hedge, from the budget; `false` if none remains.
     pub(crate) fn try_resend(&self) -> bool {
         let now = self.clock.now();
         self.inner.lock().try_resend(now)
     }
 
-    /// Adds a response time to the service's average and classifies the response.
+    /// Adds an answer that took `time` to the average answer time and classifies it.
     pub(crate) fn record_answer(&self, time: Millis, was_silent: bool) -> Finding {
         self.inner.lock().record_answer(time, was_silent)
     }
 
-    /// Average response time of the service, and the timeouts derived from it.
+    /// Average answer time of the service, from which the times for silence and hedging follow.
     pub(crate) fn answer_times(&self) -> AnswerTimes {
         self.inner.lock().answer_times()
     }
@@ -166,7 +166,7 @@
         rx.try_recv().map_err(|_| self.refusal(request.priority))
     }
 
-    /// Picks a target with a free slot for a hedged request, without waiting.
+    /// Picks a target with a free slot for a hedge of this request, without waiting.
     pub(crate) fn pick_hedge(
         self: &Arc<Self>,
         request: &PlacementRequest<'_>,
@@ -233,7 +233,7 @@
         self.inner.lock().load_report(now)
     }
 
-    /// Whether most slots are in use.
+    /// Whether the service is crowded, as its dispatcher defines it.
     pub fn is_crowded(&self) -> bool {
         let now = self.clock.now();
         self.inner.lock().is_crowded(now)
--- a/crates/auburnbridge_gateway/tests/forwarding/neighbours.rs
+++ b/crates/auburnbridge_gateway/tests/forwarding/neighbours.rs
@@ -6,7 +6,7 @@
 use async_std::future::timeout;
 use async_std::net::UdpSocket;
 use async_std::task::{self, block_on};
-use auburnbridge_gateway::{GatewayReport, Neighbours};
+use auburnbridge_gateway::{GatewayReport, GatewayReporter};
 use auburnbridge_messages::GatewayLocation;
 use auburnbridge_peer::codec;
 use auburnbridge_policy::balance::Finding;
@@ -48,19 +48,19 @@
         let address = listen(&gateway).await;
         let local = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let remote = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-        let neighbours = Neighbours::bind(
+        let reporter = GatewayReporter::bind(
             "gateway-1".parse().unwrap(),
             "north".parse().unwrap(),
             "127.0.0.1:0".parse().unwrap(),
         );
-        let neighbours = Arc::new(neighbours.await.unwrap());
+        let reporter = Arc::new(reporter.await.unwrap());
         let others = vec![
             location("gateway-2", "north", &local),
             location("gateway-3", "south", &remote),
         ];
-        assert_eq!(neighbours.set_gateways(others).len(), 2);
+        assert_eq!(reporter.set_gateways(others).len(), 2);
         let request = task::spawn(async move { send(address, "/order/1", 1_000).await });
-        let broadcasting = task::spawn(neighbours.broadcast(gateway));
+        let broadcasting = task::spawn(reporter.broadcast(gateway));
         let local = reports_to_first_finding(local).await;
         let remote = reports_to_first_finding(remote).await;
         assert_eq!(request.await.status, 504);
--- a/crates/auburnbridge_routing/src/dialect.rs
+++ b/crates/auburnbridge_routing/src/dialect.rs
@@ -13,11 +13,12 @@
 pub struct HeaderNames {
     /// Id that the caller gives one attempt of a request; targets echo it.
     pub attempt: &'static str,
-    /// Time in milliseconds for which the sender waits for the response.
+    /// Remaining time, a duration in milliseconds, for which the sender waits for the response.
     pub deadline: &'static str,
     /// Id of the target that may run the request; any other refuses it.
     pub expected_target: &'static str,
-    /// Signature of the target over its response.
+    /// Signature of the target over its response. The gateway only checks that a success has it; it
+    /// doesn't verify the signature.
     pub seal: &'static str,
     /// Marks the response of a target that did not run the request.
     pub not_run: &'static str,
--- a/crates/auburnbridge_routing/src/route.rs
+++ b/crates/auburnbridge_routing/src/route.rs
@@ -27,7 +27,8 @@
     pub latency_objective: Millis,
     /// Longest time for which a caller is kept waiting.
     pub timeout: Millis,
-    /// Maximum number of targets to which one request may be sent.
+    /// Maximum number of sends of one request to targets. Elsewhere, an attempt is one try of the
+    /// caller.
     pub max_attempts: u32,
     /// Services that the requests are split among; at least one weight is above zero.
     pub destinations: Vec<Destination>,
