--- a/crates/auburnbridge_log/src/hard_state.rs
+++ b/crates/auburnbridge_log/src/hard_state.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of unconfirmed boots that a replica lists. Beyond that, the oldest is dropped; in
 /// the worst case, peers then reject a valid data folder.
-pub(crate) const MAX_BOOT_ATTEMPTS: usize = 64;
+pub(crate) const MAX_UNCONFIRMED_BOOTS: usize = 64;
 
 /// Maximum number of peers in the boot table; members take precedence over other replicas.
 pub(crate) const MAX_PEERS: usize = 64;
@@ -17,7 +17,7 @@
 ///
 /// The counter is incremented only after a boot that the peers confirmed, so an outdated copy of the
 /// data folder can't reach a counter that is new to them by restarting repeatedly. The nonce
-/// distinguishes two boots with the same counter. `attempts` lists the earlier boots that
+/// distinguishes two boots with the same counter. `unconfirmed_nonces` lists the earlier boots that
 /// were not confirmed, since a peer may have recorded one of them before the replica stopped.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Boot {
@@ -26,7 +26,7 @@
     /// Random number that identifies this boot.
     pub nonce: u64,
     /// Nonces of the earlier, unconfirmed boots with this counter.
-    pub attempts: Vec<u64>,
+    pub unconfirmed_nonces: Vec<u64>,
     /// Whether enough peers have confirmed this boot.
     pub confirmed: bool,
 }
@@ -64,14 +64,14 @@
             self.boot = Boot {
                 counter: self.boot.counter + 1,
                 nonce,
-                attempts: Vec::new(),
+                unconfirmed_nonces: Vec::new(),
                 confirmed: false,
             };
             return self;
         }
-        self.boot.attempts.push(self.boot.nonce);
-        if self.boot.attempts.len() > MAX_BOOT_ATTEMPTS {
-            self.boot.attempts.remove(0);
+        self.boot.unconfirmed_nonces.push(self.boot.nonce);
+        if self.boot.unconfirmed_nonces.len() > MAX_UNCONFIRMED_BOOTS {
+            self.boot.unconfirmed_nonces.remove(0);
         }
         self.boot.nonce = nonce;
         self
@@ -85,6 +85,6 @@
         if self.counter != known.counter {
             return self.counter > known.counter;
         }
-        self.nonce == known.nonce || self.attempts.contains(&known.nonce)
+        self.nonce == known.nonce || self.unconfirmed_nonces.contains(&known.nonce)
     }
 }
--- a/crates/auburnbridge_log/src/ids.rs
+++ b/crates/auburnbridge_log/src/ids.rs
@@ -6,7 +6,8 @@
 use auburnbridge_types::ParseError;
 use serde::{Deserialize, Serialize};
 
-/// Random id of a data folder. A new folder on the same VM has another id.
+/// Random id of a replica, created with its data folder. A new folder on the same VM gets another
+/// id.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId(pub u128);
 
--- a/crates/auburnbridge_log/src/input.rs
+++ b/crates/auburnbridge_log/src/input.rs
@@ -51,9 +51,9 @@
         /// Encoded state.
         data: Arc<[u8]>,
     },
-    /// The process is about to stop. A leader rejects new requests and transfers leadership to a
-    /// voter that has the whole log. If that fails within an election timeout, it accepts requests
-    /// again.
+    /// The process is about to stop. A leader rejects proposals and member changes, and transfers
+    /// leadership to a voter that has the whole log. If that fails within an election timeout, it
+    /// accepts them again.
     Resign,
     /// Sets the first member list of a new group; every listed replica must get the same list.
     /// Ignored by a replica that already belongs to a group or is not a voter in the list.
--- a/crates/auburnbridge_log/src/message.rs
+++ b/crates/auburnbridge_log/src/message.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use strum::IntoStaticStr;
 
-use crate::hard_state::MAX_BOOT_ATTEMPTS;
+use crate::hard_state::MAX_UNCONFIRMED_BOOTS;
 use crate::{LogIndex, MAX_DATA_BYTES, MAX_SNAPSHOT_BYTES, Record, ReplicaId, SnapshotMeta, Term};
 
 /// Version of the message format.
@@ -64,7 +64,7 @@
         last_term: Term,
         /// Whether the leader requested this election to transfer leadership. The receiver may then
         /// grant the vote even if it has recently heard from the leader.
-        handover: bool,
+        is_transfer: bool,
     },
     /// Asks a voter that has the whole log of the leader to start an election at once.
     Campaign,
@@ -129,7 +129,7 @@
         /// Nonce of the boot.
         nonce: u64,
         /// Nonces of the earlier, unconfirmed boots with this counter.
-        attempts: Vec<u64>,
+        unconfirmed_nonces: Vec<u64>,
     },
     /// Reply to `BootCheck`.
     BootReply {
@@ -252,7 +252,9 @@
                     && *total <= MAX_SNAPSHOT_BYTES as u64
                     && end <= *total
             }
-            Self::BootCheck { attempts, .. } => attempts.len() <= MAX_BOOT_ATTEMPTS,
+            Self::BootCheck {
+                unconfirmed_nonces, ..
+            } => unconfirmed_nonces.len() <= MAX_UNCONFIRMED_BOOTS,
             Self::PreVote { .. }
             | Self::PreVoteReply { .. }
             | Self::Vote { .. }
--- a/crates/auburnbridge_log/src/replica/boot.rs
+++ b/crates/auburnbridge_log/src/replica/boot.rs
@@ -1,13 +1,15 @@
 //! Boot check: a restarted replica votes and counts towards the quorum only after its peers have
-//! confirmed that its boot is new to them. Without the check, a replica restored from an outdated
-//! copy of its data folder could lack a vote or a record that the group relies on.
+//! confirmed that its boot, that is, this start from its data folder, is new to them. Without the
+//! check, a replica restored from an outdated copy of its data folder could lack a vote or a record
+//! that the group relies on.
 //!
 //! A boot is confirmed by a majority of the other voters. Any two such majorities share a replica,
 //! so an outdated copy reaches a peer that knows the later boot. Under this rule alone, if one of
 //! three voters is lost permanently, the other two could never restart. After
-//! [`GRACE_ELECTION_TIMEOUTS`], a boot is therefore confirmed by a quorum that includes the replica
-//! itself. An outdated copy then passes only if every peer that replies was unreachable during the
-//! whole later boot. A single rejection at any time is final.
+//! [`GRACE_ELECTION_TIMEOUTS`], fewer confirmations therefore suffice: the replica counts itself
+//! towards a quorum. An outdated copy then passes only if no peer that replies has heard of a later
+//! boot, that is, if each was unreachable for as long as the replica ran after that boot. A single
+//! rejection at any time is final.
 
 use std::collections::BTreeSet;
 
@@ -20,9 +22,9 @@
 /// Time for which a boot waits for a majority of the other voters, in election timeouts.
 const GRACE_ELECTION_TIMEOUTS: u64 = 10;
 
-/// Interval at which a confirmed boot is announced to members that have not replied, in election
-/// timeouts.
-const ANNOUNCE_ELECTION_TIMEOUTS: u64 = 10;
+/// Interval at which the check of a confirmed boot is resent to members that have not accepted it,
+/// in election timeouts.
+const RECHECK_ELECTION_TIMEOUTS: u64 = 10;
 
 #[derive(Clone, Debug)]
 pub(super) struct BootState {
@@ -50,16 +52,16 @@
     /// Confirms the boot if possible, and sends a check to the members that have not accepted it.
     pub(super) fn advance_boot_check(&mut self) {
         self.confirm_boot_if_accepted();
-        if self.now < self.boot.next_check || self.hard_state.superseded {
+        if self.monotonic_now < self.boot.next_check || self.hard_state.superseded {
             return;
         }
         let timeouts = if self.counts_in_quorum() {
-            ANNOUNCE_ELECTION_TIMEOUTS
+            RECHECK_ELECTION_TIMEOUTS
         } else {
             1
         };
         let interval = Millis(self.config.election_timeout.0 * timeouts);
-        self.boot.next_check = self.now.after(interval);
+        self.boot.next_check = self.monotonic_now.after(interval);
         let boot = self.hard_state.boot.clone();
         let not_accepted: Vec<_> = self
             .members()
@@ -72,7 +74,7 @@
             let body = Body::BootCheck {
                 counter: boot.counter,
                 nonce: boot.nonce,
-                attempts: boot.attempts.clone(),
+                unconfirmed_nonces: boot.unconfirmed_nonces.clone(),
             };
             self.send(vm, replica, body);
         }
@@ -89,7 +91,7 @@
             .filter(|member| self.boot.accepted_by.contains(&member.replica))
             .count();
         let grace = Millis(self.config.election_timeout.0 * GRACE_ELECTION_TIMEOUTS);
-        let required = if self.now < self.boot.started_at.after(grace) {
+        let required = if self.monotonic_now < self.boot.started_at.after(grace) {
             members.majority_of_others(self.id)
         } else {
             members.quorum() - 1
@@ -97,7 +99,7 @@
         let enough = accepted >= required;
         // The process that created the data folder knows that it is not a copy.
         let is_first_boot =
-            self.hard_state.boot.counter == 1 && self.hard_state.boot.attempts.is_empty();
+            self.hard_state.boot.counter == 1 && self.hard_state.boot.unconfirmed_nonces.is_empty();
         if enough || is_first_boot {
             self.confirm_boot();
         }
@@ -118,7 +120,7 @@
         sender: ReplicaId,
         counter: u64,
         nonce: u64,
-        attempts: Vec<u64>,
+        unconfirmed_nonces: Vec<u64>,
     ) {
         if self.hard_state.superseded || !self.reserve_peer_slot(sender) {
             return;
@@ -127,7 +129,7 @@
         let boot = Boot {
             counter,
             nonce,
-            attempts,
+            unconfirmed_nonces,
             confirmed: false,
         };
         let accepted = boot.is_new_to(known);
--- a/crates/auburnbridge_log/src/replica/election.rs
+++ b/crates/auburnbridge_log/src/replica/election.rs
@@ -12,9 +12,9 @@
     /// Whether this replica leads or has heard from a leader within the minimum election timeout.
     pub(super) fn has_live_leader(&self) -> bool {
         self.is_leader()
-            || self
-                .leader_contact
-                .is_some_and(|contact| self.now.since(contact) < self.config.election_timeout)
+            || self.leader_contact.is_some_and(|contact| {
+                self.monotonic_now.since(contact) < self.config.election_timeout
+            })
     }
 
     fn is_up_to_date(&self, last_index: LogIndex, last_term: Term) -> bool {
@@ -60,7 +60,7 @@
             .any(|members| members.is_voter(self.id))
     }
 
-    pub(super) fn start_election(&mut self, handover: bool) {
+    pub(super) fn start_election(&mut self, is_transfer: bool) {
         self.hard_state.term = self.hard_state.term.next();
         self.hard_state.vote = Some(self.id);
         self.writes.mark_hard_state_dirty();
@@ -70,7 +70,7 @@
             let body = Body::Vote {
                 last_index: self.log.last_index(),
                 last_term: self.log.last_term(),
-                handover,
+                is_transfer,
             };
             self.send_after_sync(vm, replica, body);
         }
--- a/crates/auburnbridge_log/src/replica/follower.rs
+++ b/crates/auburnbridge_log/src/replica/follower.rs
@@ -12,7 +12,7 @@
         debug_assert!(!self.is_leader(), "a term has at most one leader");
         self.role = Role::Follower;
         self.leader = Some((sender, from.clone()));
-        self.leader_contact = Some(self.now);
+        self.leader_contact = Some(self.monotonic_now);
         self.reset_election_deadline();
     }
 
@@ -27,8 +27,8 @@
     ) {
         let end = LogIndex(prev_index.0 + records.len() as u64);
         let is_heartbeat = records.is_empty();
-        let hint = self.shared_prefix_hint(prev_index, prev_term);
-        let matched = if hint.is_none() {
+        let mismatch = self.find_mismatch(prev_index, prev_term);
+        let matched = if mismatch.is_none() {
             self.store_records(records);
             self.commit = self.commit.max(commit.min(end));
             let shared = end.max(self.commit);
@@ -42,7 +42,7 @@
         };
         let reply = Body::AppendReply {
             matched,
-            hint: hint.unwrap_or(end),
+            hint: mismatch.unwrap_or(end),
             counts: self.counts_in_quorum(),
             round,
         };
@@ -52,9 +52,9 @@
         self.send_after_sync(from.clone(), sender, reply);
     }
 
-    /// Returns the highest index at which the log may match the leader's; `None` if it matches up to
-    /// `prev_index`.
-    fn shared_prefix_hint(&self, prev_index: LogIndex, prev_term: Term) -> Option<LogIndex> {
+    /// If the log does not match the leader's at `prev_index`, returns the highest index at which
+    /// it may match; `None` if it matches.
+    fn find_mismatch(&self, prev_index: LogIndex, prev_term: Term) -> Option<LogIndex> {
         // Committed records are the same on all replicas, and those before the base are no longer
         // in memory.
         if prev_index <= self.commit || self.log.term(prev_index) == Some(prev_term) {
@@ -89,7 +89,7 @@
     /// Appends a record after the last one and returns its index.
     pub(super) fn push_record(&mut self, term: Term, payload: Payload) -> LogIndex {
         let index = self.log.last_index().next();
-        let time = self.log.last_time().max(self.clock);
+        let time = self.log.last_time().max(self.wall_clock);
         self.log.push(Record {
             index,
             term,
--- a/crates/auburnbridge_log/src/replica/leader.rs
+++ b/crates/auburnbridge_log/src/replica/leader.rs
@@ -24,10 +24,13 @@
     pub(super) first_index: LogIndex,
     pub(super) progress: BTreeMap<ReplicaId, Progress>,
     pub(super) reads: Vec<PendingRead>,
-    pub(super) round: u64,
-    /// Deadline of a leadership transfer, until which requests are rejected.
+    /// Number of the latest heartbeat round. Rounds are counted from 1 in each term; in a round,
+    /// the leader sends a heartbeat to each member.
+    pub(super) round_number: u64,
+    /// Deadline of a leadership transfer, until which proposals and member changes are rejected;
+    /// `Some` while a transfer is in progress.
     pub(super) transfer_deadline: Option<Timestamp>,
-    /// Whether a voter was asked to take over. The request may arrive late, so this leader holds no
+    /// Whether `Campaign` was sent to a voter. The message may arrive late, so this leader holds no
     /// lease for the rest of its term.
     pub(super) transfer_requested: bool,
     tokens: BTreeMap<LogIndex, Token>,
@@ -43,7 +46,7 @@
     /// Index of the next record to send.
     pub(super) next: LogIndex,
     pub(super) mode: ReplicationMode,
-    /// Latest round that the member acknowledged.
+    /// Latest heartbeat round that the member acknowledged.
     pub(super) acked_round: HeartbeatRound,
     /// Whether the member counted towards the quorum according to its latest reply.
     pub(super) counts_in_quorum: bool,
@@ -105,12 +108,12 @@
             first_index,
             progress: BTreeMap::new(),
             reads: Vec::new(),
-            round: 0,
+            round_number: 0,
             transfer_deadline: None,
             transfer_requested: false,
             tokens: BTreeMap::new(),
-            elected_at: self.now,
-            next_heartbeat: self.now,
+            elected_at: self.monotonic_now,
+            next_heartbeat: self.monotonic_now,
         }));
         self.leader = Some((self.id, self.vm.clone()));
         self.update_progress(first_index);
@@ -167,11 +170,11 @@
 
     /// Starts a round: sends a heartbeat to each member and schedules the next one.
     pub(super) fn send_heartbeats(&mut self) {
-        let next_heartbeat = self.now.after(self.config.heartbeat_interval);
+        let next_heartbeat = self.monotonic_now.after(self.config.heartbeat_interval);
         let Some(leader) = self.leader_state() else {
             return;
         };
-        leader.round += 1;
+        leader.round_number += 1;
         leader.next_heartbeat = next_heartbeat;
         let replicas: Vec<_> = leader.progress.keys().copied().collect();
         for replica in replicas {
@@ -180,7 +183,7 @@
     }
 
     pub(super) fn send_heartbeats_when_due(&mut self) {
-        let now = self.now;
+        let now = self.monotonic_now;
         if self
             .leader_state()
             .is_some_and(|leader| now >= leader.next_heartbeat)
@@ -211,7 +214,7 @@
         let Some(vm) = self.members().get(replica).map(|member| member.vm.clone()) else {
             return;
         };
-        let sent = self.now;
+        let sent = self.monotonic_now;
         let (base, last_written) = (
             self.log.base_index(),
             self.writes.first_unwritten().previous(),
@@ -220,7 +223,7 @@
             return;
         };
         let round = HeartbeatRound {
-            number: leader.round,
+            number: leader.round_number,
             sent,
         };
         let Some(progress) = leader.progress.get(&replica) else {
@@ -341,7 +344,7 @@
     pub(super) fn quorum_contact(&self, leader: &Leader) -> Timestamp {
         quorum_value(self.members(), |replica| {
             if replica == self.id {
-                return self.now;
+                return self.monotonic_now;
             }
             leader
                 .progress
@@ -358,7 +361,7 @@
             return;
         };
         let contact = self.quorum_contact(leader).max(leader.elected_at);
-        if self.now.since(contact) >= self.config.election_timeout {
+        if self.monotonic_now.since(contact) >= self.config.election_timeout {
             self.become_follower(self.hard_state.term);
         }
     }
--- a/crates/auburnbridge_log/src/replica/mod.rs
+++ b/crates/auburnbridge_log/src/replica/mod.rs
@@ -35,10 +35,10 @@
     vm: VmId,
     config: Config,
     rng: ChaCha8Rng,
-    /// Monotonic time for timeouts, which does not advance when the clock goes back.
-    now: Timestamp,
-    /// Latest clock reading, used for log time.
-    clock: Timestamp,
+    /// Time for timeouts; it advances with the clock, but never goes back.
+    monotonic_now: Timestamp,
+    /// Latest reading of the clock that the caller passed in, used for log time.
+    wall_clock: Timestamp,
     hard_state: HardState,
     log: RecordLog,
     snapshot: Option<Snapshot>,
@@ -112,8 +112,8 @@
             vm,
             config,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            now,
-            clock: now,
+            monotonic_now: now,
+            wall_clock: now,
             hard_state: recovered.hard_state,
             writes: WriteTracker::new(log.last_index()),
             log,
@@ -124,8 +124,8 @@
             applied: start,
             role: Role::Follower,
             leader: None,
-            // Before the restart, the replica may have extended its leader's lease by a reply, so it
-            // grants no vote for an election timeout.
+            // Before the restart, the replica may have extended its leader's lease by a reply (see
+            // `reads`), so it grants no vote for an election timeout.
             leader_contact: Some(now),
             election_deadline: now,
             boot: BootState::new(now),
@@ -142,11 +142,11 @@
         (replica, outputs)
     }
 
-    /// Processes one input at time `now`. If the clock goes back, timeouts continue from its new
-    /// reading.
+    /// Processes one input; `now` is the reading of the clock. If the clock goes back, the time for
+    /// timeouts stands still in this step and then advances with the clock again.
     pub fn step(&mut self, now: Timestamp, input: Input) -> Vec<Output> {
-        self.now = self.now.after(now.since(self.clock));
-        self.clock = now;
+        self.monotonic_now = self.monotonic_now.after(now.since(self.wall_clock));
+        self.wall_clock = now;
         match input {
             Input::Tick => self.tick(),
             Input::Message { from, message } => self.receive(&from, message),
@@ -165,7 +165,7 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Returns the id of the data folder.
+    /// Returns the replica id.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
@@ -208,7 +208,7 @@
             self.check_quorum();
             self.send_heartbeats_when_due();
             self.cancel_expired_transfer();
-        } else if self.now >= self.election_deadline {
+        } else if self.monotonic_now >= self.election_deadline {
             self.start_pre_vote();
         }
     }
@@ -227,8 +227,8 @@
             Body::BootCheck {
                 counter,
                 nonce,
-                attempts,
-            } => return self.handle_boot_check(from, sender, counter, nonce, attempts),
+                unconfirmed_nonces,
+            } => return self.handle_boot_check(from, sender, counter, nonce, unconfirmed_nonces),
             Body::BootReply {
                 counter,
                 nonce,
@@ -246,7 +246,7 @@
             // Followers of a live leader ignore other candidates, so that they can't disrupt it.
             // Leases depend on this.
             Body::Vote {
-                handover: false, ..
+                is_transfer: false, ..
             } if term > self.hard_state.term && self.has_live_leader() => return,
             _ => {}
         }
@@ -260,7 +260,7 @@
             Body::Vote {
                 last_index,
                 last_term,
-                handover: _,
+                is_transfer: _,
             } => self.handle_vote(from, sender, last_index, last_term),
             Body::Campaign => self.handle_campaign(sender),
             Body::VoteReply { granted } => self.handle_vote_reply(sender, granted),
@@ -380,7 +380,7 @@
     fn reset_election_deadline(&mut self) {
         let shortest = self.config.election_timeout.0;
         let timeout = self.rng.random_range(shortest..=shortest * 2);
-        self.election_deadline = self.now.after(Millis(timeout));
+        self.election_deadline = self.monotonic_now.after(Millis(timeout));
     }
 
     fn reject(&mut self, token: Token, reason: RejectReason) {
--- a/crates/auburnbridge_log/src/replica/persistence.rs
+++ b/crates/auburnbridge_log/src/replica/persistence.rs
@@ -26,7 +26,8 @@
 #[derive(Clone, Copy, Debug)]
 struct InFlightWrite {
     sequence: u64,
-    /// Index of the last record of the write that is still in the log.
+    /// Index of the last record of the write; lowered if the log is truncated before the write is
+    /// synced, so that no truncated record counts as synced.
     last: LogIndex,
 }
 
--- a/crates/auburnbridge_log/src/replica/reads.rs
+++ b/crates/auburnbridge_log/src/replica/reads.rs
@@ -1,4 +1,12 @@
-//! Linearizable reads, under a lease or after a heartbeat round (read index).
+//! Linearizable reads, under the leader's lease or after a heartbeat round (read index).
+//!
+//! In a heartbeat round, the leader sends a heartbeat to each member. If a quorum
+//! acknowledges a round that started after a read arrived, this replica was still the leader when
+//! the read arrived.
+//!
+//! The lease saves this round. A replica that has heard from a leader votes for no other for an
+//! election timeout, except in a leadership transfer. The leader therefore has no successor until
+//! an election timeout after it sent the latest round that a quorum has acknowledged.
 
 use auburnbridge_types::Millis;
 
@@ -14,8 +22,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct PendingRead {
     pub(super) token: Token,
-    /// Round that a quorum must acknowledge; `None` until a round starts after the read's arrival.
-    round: Option<u64>,
+    /// Number of the round that a quorum must acknowledge; `None` until a round starts after the
+    /// read's arrival.
+    round_number: Option<u64>,
     /// Index up to which records must be applied before the read is served.
     index: LogIndex,
 }
@@ -34,10 +43,11 @@
         // Until the first record of the term is committed, the commit index may be lower than that
         // of an earlier leader.
         let index = commit.max(leader.first_index);
-        let round = leased.then_some(0);
+        // Round 0 counts as acknowledged, so a read under the lease waits for no round.
+        let round_number = leased.then_some(0);
         leader.reads.push(PendingRead {
             token,
-            round,
+            round_number,
             index,
         });
     }
@@ -50,11 +60,11 @@
         let lease = Millis(timeout - timeout / LEASE_MARGIN_DIVISOR);
         self.config.lease_reads
             && !leader.transfer_requested
-            && self.now.since(self.quorum_contact(leader)) < lease
+            && self.monotonic_now.since(self.quorum_contact(leader)) < lease
     }
 
-    /// Serves the reads whose round is confirmed, and starts a round for those without one. At most
-    /// one round for reads is in flight, so that many reads share it.
+    /// Serves the reads whose round a quorum has acknowledged, and starts a round for those without
+    /// one. At most one round for reads is in flight, so that many reads share it.
     pub(super) fn serve_reads(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -70,15 +80,15 @@
         let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut leader.reads)
             .into_iter()
             .partition(|read| {
-                read.round.is_some_and(|round| round <= confirmed) && read.index <= applied
+                read.round_number.is_some_and(|number| number <= confirmed) && read.index <= applied
             });
         leader.reads = waiting;
-        let round_in_flight = leader.round > confirmed
+        let round_in_flight = leader.round_number > confirmed
             && leader
                 .reads
                 .iter()
-                .any(|read| read.round == Some(leader.round));
-        let has_unassigned = leader.reads.iter().any(|read| read.round.is_none());
+                .any(|read| read.round_number == Some(leader.round_number));
+        let has_unassigned = leader.reads.iter().any(|read| read.round_number.is_none());
         for read in ready {
             self.outputs.push(Output::ReadReady {
                 token: read.token,
@@ -97,7 +107,7 @@
         };
         quorum_value(self.members(), |replica| {
             if replica == self.id {
-                return leader.round;
+                return leader.round_number;
             }
             leader
                 .progress
@@ -108,13 +118,13 @@
 
     fn start_read_round(&mut self) {
         if let Some(leader) = self.leader_state() {
-            let round = leader.round + 1;
+            let round_number = leader.round_number + 1;
             for read in &mut leader.reads {
-                read.round.get_or_insert(round);
+                read.round_number.get_or_insert(round_number);
             }
         }
         self.send_heartbeats();
-        // A sole voter is its own quorum, so the round is confirmed at once.
+        // A sole voter is its own quorum, so the round is acknowledged at once.
         let is_sole_voter = self.members().quorum() == 1 && self.members().is_voter(self.id);
         if is_sole_voter {
             self.serve_reads();
--- a/crates/auburnbridge_log/tests/scenarios.rs
+++ b/crates/auburnbridge_log/tests/scenarios.rs
@@ -603,10 +603,10 @@
 /// after a crash.
 #[test]
 fn distinguishes_new_boots_from_older_ones() {
-    let boot = |counter, nonce, attempts: &[u64]| Boot {
+    let boot = |counter, nonce, unconfirmed_nonces: &[u64]| Boot {
         counter,
         nonce,
-        attempts: attempts.to_vec(),
+        unconfirmed_nonces: unconfirmed_nonces.to_vec(),
         confirmed: false,
     };
     let known = |counter, nonce| Some(PeerBoot { counter, nonce });
@@ -649,11 +649,11 @@
         term: Term(3),
         body,
     };
-    let check = |attempts: usize| {
+    let check = |unconfirmed_nonces: usize| {
         message(Body::BootCheck {
             counter: 1,
             nonce: 2,
-            attempts: vec![7; attempts],
+            unconfirmed_nonces: vec![7; unconfirmed_nonces],
         })
     };
     let append = |index: u64| {
@@ -677,7 +677,7 @@
     let cases = [
         ("valid boot check", check(64), None),
         (
-            "too many boot attempts",
+            "too many unconfirmed boots",
             check(65),
             Some(DecodeError::Malformed),
         ),
