--- a/crates/auburnbridge_config/src/change.rs
+++ b/crates/auburnbridge_config/src/change.rs
@@ -53,8 +53,9 @@
 pub struct ChangedRules {
     /// The new rules.
     pub rules: Rules,
-    /// The edits that turn the old text into the new one; `None` if there are too many for a delta.
-    pub edits: Option<Vec<LineEdit>>,
+    /// The line edits that turn the old text into the new one; `None` if there are too many for a
+    /// delta.
+    pub line_edits: Option<Vec<LineEdit>>,
 }
 
 /// Reason why a change can't be applied.
@@ -78,7 +79,7 @@
 impl Change {
     /// Returns the rules that result from applying the change to `rules`.
     pub fn apply_to(&self, rules: &Rules) -> Result<ChangedRules, ChangeError> {
-        let edits = match self {
+        let line_edits = match self {
             Self::ReplaceAll(text) => return replace_all(rules, text),
             Self::SetLine { replaces, text } => vec![set_line(rules, replaces.as_ref(), text)?],
             Self::RemoveLine { line } => {
@@ -86,10 +87,10 @@
                 vec![LineEdit::Remove { line }]
             }
         };
-        let edited = rules.edited(&edits).map_err(ChangeError::Invalid)?;
+        let edited = rules.edited(&line_edits).map_err(ChangeError::Invalid)?;
         Ok(ChangedRules {
             rules: edited,
-            edits: Some(edits),
+            line_edits: Some(line_edits),
         })
     }
 
@@ -118,15 +119,15 @@
     if !text.is_empty() && !text.ends_with('\n') {
         text.push('\n');
     }
-    let edits = diff_lines(rules.text(), &text);
+    let line_edits = diff_lines(rules.text(), &text);
     // Operators who send the whole file have usually changed only a few lines, and applying those
     // is cheaper than parsing the file.
-    let rules = match &edits {
-        Some(edits) => rules.edited(edits),
+    let rules = match &line_edits {
+        Some(line_edits) => rules.edited(line_edits),
         None => Rules::parse(&text),
     };
     let rules = rules.map_err(ChangeError::Invalid)?;
-    Ok(ChangedRules { rules, edits })
+    Ok(ChangedRules { rules, line_edits })
 }
 
 fn set_line(
@@ -157,12 +158,12 @@
 }
 
 fn replacement_summary(changed: &ChangedRules) -> String {
-    let Some(edits) = &changed.edits else {
+    let Some(line_edits) = &changed.line_edits else {
         let lines = file_lines(changed.rules.text()).count();
         return format!("replaced the file by one of {lines} lines");
     };
     let (mut replaced, mut added, mut removed) = (0, 0, 0);
-    for edit in edits {
+    for edit in line_edits {
         match edit {
             LineEdit::Replace { .. } => replaced += 1,
             LineEdit::Insert { .. } => added += 1,
--- a/crates/auburnbridge_config/src/delta.rs
+++ b/crates/auburnbridge_config/src/delta.rs
@@ -8,22 +8,22 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum number of line edits in one delta; more would cost more to apply than a whole file.
-pub const MAX_DELTA_EDITS: usize = 256;
+pub const MAX_DELTA_LINE_EDITS: usize = 256;
 
-/// Maximum total size of the edits that are kept for deltas.
+/// Maximum total size of the line edits that are kept for deltas.
 const MAX_KEPT_BYTES: usize = 1 << 20;
 
-/// Assumed sizes of a kept step and of a kept edit without its text. They are fixed because all
-/// keepers must drop the same steps, whatever memory layout the compiler gives the types.
+/// Assumed sizes of a kept step and of a kept line edit without its text. They are fixed because
+/// all keepers must drop the same steps, whatever memory layout the compiler gives the types.
 const STEP_OVERHEAD_BYTES: usize = 64;
-const EDIT_OVERHEAD_BYTES: usize = 40;
+const LINE_EDIT_OVERHEAD_BYTES: usize = 40;
 
-/// Update from the revision of an entry to the one in force.
+/// Update from the revision of an entry to that of the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Delta {
-    /// The entry already has the revision in force, or a higher one.
+    /// The entry already has the sender's revision, or a higher one.
     Current {
-        /// The revision in force at the sender.
+        /// The sender's revision.
         revision: Revision,
     },
     /// Line edits to the entry's text.
@@ -32,12 +32,12 @@
         base: Revision,
         /// Digest of the entry's text.
         base_digest: TextDigest,
-        /// The revision after the edits.
+        /// The revision after the line edits.
         revision: Revision,
-        /// Digest of the text after the edits.
+        /// Digest of the text after the line edits.
         digest: TextDigest,
-        /// The edits, each relative to the text after the previous one.
-        edits: Vec<LineEdit>,
+        /// The line edits, each relative to the text after the previous one.
+        line_edits: Vec<LineEdit>,
     },
     /// The whole text.
     Whole {
@@ -68,42 +68,44 @@
     bytes: usize,
 }
 
-/// Edits from one revision to the next; `base` is the revision that the previous step produced.
+/// Line edits from one revision to the next; `base` is the revision that the previous step
+/// produced.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Step {
     base: Revision,
     base_digest: TextDigest,
-    edits: Vec<LineEdit>,
+    line_edits: Vec<LineEdit>,
 }
 
 impl Step {
     fn bytes(&self) -> usize {
-        let edits = self.edits.iter().map(|edit| match edit {
+        let line_edits = self.line_edits.iter().map(|edit| match edit {
             LineEdit::Replace { text, .. } | LineEdit::Insert { text, .. } => {
-                text.len() + EDIT_OVERHEAD_BYTES
+                text.len() + LINE_EDIT_OVERHEAD_BYTES
             }
-            LineEdit::Remove { .. } => EDIT_OVERHEAD_BYTES,
+            LineEdit::Remove { .. } => LINE_EDIT_OVERHEAD_BYTES,
         });
-        edits.sum::<usize>() + STEP_OVERHEAD_BYTES
+        line_edits.sum::<usize>() + STEP_OVERHEAD_BYTES
     }
 }
 
 impl DeltaLog {
-    /// Appends a step. A step without edits can't be sent as line edits, so it clears the log.
+    /// Appends a step. A step without line edits can't be part of a [`Delta::Lines`], so it drops
+    /// all earlier steps, too.
     pub(crate) fn push(
         &mut self,
         base: Revision,
         base_digest: TextDigest,
-        edits: Option<Vec<LineEdit>>,
+        line_edits: Option<Vec<LineEdit>>,
     ) {
-        let Some(edits) = edits else {
+        let Some(line_edits) = line_edits else {
             self.clear();
             return;
         };
         let step = Step {
             base,
             base_digest,
-            edits,
+            line_edits,
         };
         self.bytes += step.bytes();
         self.steps.push_back(step);
@@ -118,18 +120,19 @@
         self.bytes = 0;
     }
 
-    /// Digest of `base` and the edits from `base` to the latest revision, if kept and few enough.
+    /// Digest of `base` and the line edits from `base` to the latest revision, if kept and few
+    /// enough.
     pub(crate) fn since(&self, base: Revision) -> Option<(TextDigest, Vec<LineEdit>)> {
         let first = self
             .steps
             .binary_search_by_key(&base, |step| step.base)
             .ok()?;
         let steps = || self.steps.range(first..);
-        let count: usize = steps().map(|step| step.edits.len()).sum();
-        if count > MAX_DELTA_EDITS {
+        let count: usize = steps().map(|step| step.line_edits.len()).sum();
+        if count > MAX_DELTA_LINE_EDITS {
             return None;
         }
-        let edits = steps().flat_map(|step| step.edits.iter().cloned());
-        Some((self.steps[first].base_digest, edits.collect()))
+        let line_edits = steps().flat_map(|step| step.line_edits.iter().cloned());
+        Some((self.steps[first].base_digest, line_edits.collect()))
     }
 }
--- a/crates/auburnbridge_config/src/history.rs
+++ b/crates/auburnbridge_config/src/history.rs
@@ -5,7 +5,7 @@
 
 use crate::edit::Author;
 
-/// Maximum number of history entries; about a day at 11,000 edits a day.
+/// Maximum number of accepted edits in the history; about a day at 11,000 edits a day.
 pub const MAX_HISTORY: usize = 10_000;
 
 /// One accepted edit.
--- a/crates/auburnbridge_config/src/line_diff.rs
+++ b/crates/auburnbridge_config/src/line_diff.rs
@@ -2,10 +2,10 @@
 
 use auburnbridge_rules::{LineEdit, file_lines};
 
-use crate::delta::MAX_DELTA_EDITS;
+use crate::delta::MAX_DELTA_LINE_EDITS;
 
-/// Returns the edits that turn `old` into `new`, or `None` if the differing range is longer than
-/// [`MAX_DELTA_EDITS`] lines.
+/// Returns the line edits that turn `old` into `new`, or `None` if the differing range is longer
+/// than [`MAX_DELTA_LINE_EDITS`] lines.
 ///
 /// The lines between the common prefix and the common suffix are replaced one by one. If distant
 /// lines change, the result may be longer than a minimal edit script, but it needs no search.
@@ -20,7 +20,7 @@
         &old[..old.len() - common_suffix],
         &new[..new.len() - common_suffix],
     );
-    if old.len().max(new.len()) > MAX_DELTA_EDITS {
+    if old.len().max(new.len()) > MAX_DELTA_LINE_EDITS {
         return None;
     }
     let number = |index: usize| {
--- a/crates/auburnbridge_config/src/published.rs
+++ b/crates/auburnbridge_config/src/published.rs
@@ -1,4 +1,4 @@
-//! The published configuration document, of which the highest version is in force.
+//! The published configuration document. The one with the highest version is current.
 
 use std::sync::Arc;
 
@@ -22,9 +22,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum PublishReply {
-    /// The document was put in force.
+    /// The document has become the current one.
     Accepted,
-    /// A document of the same or a higher version is already in force and stays.
+    /// The current document has the same or a higher version and stays.
     Superseded,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl PublishedConfig {
-    /// Applies a committed command: puts `proposed` in force if its version is higher.
+    /// Applies a committed command: makes `proposed` current if its version is higher.
     pub fn apply(&mut self, proposed: VersionedDocument) -> PublishReply {
         if self
             .version()
@@ -47,12 +47,12 @@
         PublishReply::Accepted
     }
 
-    /// Version of the document in force.
+    /// Version of the current document.
     pub fn version(&self) -> Option<ConfigVersion> {
         self.current.as_ref().map(|current| current.version)
     }
 
-    /// The document in force.
+    /// The current document.
     pub fn current(&self) -> Option<&VersionedDocument> {
         self.current.as_ref()
     }
--- a/crates/auburnbridge_config/src/rules_copy.rs
+++ b/crates/auburnbridge_config/src/rules_copy.rs
@@ -74,7 +74,7 @@
 impl std::error::Error for DeltaError {}
 
 impl Default for RulesCopy {
-    /// The empty rules of revision 0, the initial state of every fleet.
+    /// The empty rules of revision 0, the initial state of every installation.
     fn default() -> Self {
         Self {
             revision: Revision(0),
@@ -85,17 +85,17 @@
 }
 
 impl RulesCopy {
-    /// The revision in force.
+    /// The current revision.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Digest of the text in force.
+    /// Digest of the current text.
     pub fn digest(&self) -> TextDigest {
         self.rules.digest()
     }
 
-    /// The rules in force.
+    /// The current rules.
     pub fn rules(&self) -> &Arc<Rules> {
         &self.rules
     }
@@ -109,12 +109,12 @@
             };
         }
         match self.deltas.since(revision) {
-            Some((base_digest, edits)) => Delta::Lines {
+            Some((base_digest, line_edits)) => Delta::Lines {
                 base: revision,
                 base_digest,
                 revision: self.revision,
                 digest: self.digest(),
-                edits,
+                line_edits,
             },
             None => self.whole(),
         }
@@ -148,7 +148,7 @@
                 base_digest,
                 revision,
                 digest,
-                edits,
+                line_edits,
             } => {
                 if *base != self.revision || *base_digest != self.digest() {
                     return Err(DeltaError::BaseMismatch {
@@ -156,8 +156,8 @@
                         base: *base,
                     });
                 }
-                let rules = self.rules.edited(edits).map_err(DeltaError::Invalid)?;
-                self.advance(*revision, *digest, rules, Some(edits.clone()))
+                let rules = self.rules.edited(line_edits).map_err(DeltaError::Invalid)?;
+                self.advance(*revision, *digest, rules, Some(line_edits.clone()))
             }
             Delta::Whole {
                 revision,
@@ -171,8 +171,8 @@
     }
 
     /// Moves to the next revision after an accepted edit.
-    pub(crate) fn accept(&mut self, rules: Rules, edits: Option<Vec<LineEdit>>) -> Revision {
-        self.install(self.revision.next(), rules, edits);
+    pub(crate) fn accept(&mut self, rules: Rules, line_edits: Option<Vec<LineEdit>>) -> Revision {
+        self.install(self.revision.next(), rules, line_edits);
         self.revision
     }
 
@@ -193,23 +193,24 @@
         revision: Revision,
         digest: TextDigest,
         rules: Rules,
-        edits: Option<Vec<LineEdit>>,
+        line_edits: Option<Vec<LineEdit>>,
     ) -> Result<bool, DeltaError> {
         if rules.digest() != digest {
             return Err(DeltaError::DigestMismatch { revision });
         }
-        self.install(revision, rules, edits);
+        self.install(revision, rules, line_edits);
         Ok(true)
     }
 
-    fn install(&mut self, revision: Revision, rules: Rules, edits: Option<Vec<LineEdit>>) {
-        self.deltas.push(self.revision, self.digest(), edits);
+    fn install(&mut self, revision: Revision, rules: Rules, line_edits: Option<Vec<LineEdit>>) {
+        self.deltas.push(self.revision, self.digest(), line_edits);
         self.revision = revision;
         self.rules = Arc::new(rules);
     }
 
-    /// Compares the digest stated for the current revision. Different texts for one revision mean
-    /// that log order was violated.
+    /// Compares `digest`, which a delta states for the current revision, with that of the current
+    /// text. Returns `Ok(false)`, since the revision does not change, if they are equal. Different
+    /// texts for one revision mean that log order was violated.
     fn check_digest(&self, digest: TextDigest) -> Result<bool, DeltaError> {
         if digest == self.digest() {
             Ok(false)
--- a/crates/auburnbridge_config/src/rules_state.rs
+++ b/crates/auburnbridge_config/src/rules_state.rs
@@ -13,10 +13,10 @@
 use crate::rules_copy::RulesCopy;
 use crate::seen_edits::{SeenEdit, SeenEdits};
 
-/// Rules, revision, seen edits and history; identical on all keepers after the same log entries.
+/// Rules, revision, seen edits and history; identical on all keepers after the same log records.
 ///
 /// Whether an edit is accepted depends on the grammar of the rules, so keepers that run programs with
-/// different grammars could reply differently to the same log entry.
+/// different grammars could reply differently to the same log record.
 #[derive(Clone, Debug, Default)]
 pub struct RulesState {
     pub(crate) copy: RulesCopy,
@@ -25,7 +25,7 @@
 }
 
 impl RulesState {
-    /// Applies an edit at `now`, the timestamp of its log entry.
+    /// Applies an edit at `now`, the timestamp of its log record.
     pub fn apply(&mut self, now: Timestamp, edit: Edit) -> EditReply {
         let digest = edit_digest(&edit);
         if let Some(seen) = self.seen_edits.get(edit.id) {
@@ -52,17 +52,17 @@
         reply
     }
 
-    /// The revision in force.
+    /// The current revision.
     pub fn revision(&self) -> Revision {
         self.copy.revision()
     }
 
-    /// Digest of the text in force.
+    /// Digest of the current text.
     pub fn digest(&self) -> TextDigest {
         self.copy.digest()
     }
 
-    /// The rules in force.
+    /// The current rules.
     pub fn rules(&self) -> &Arc<Rules> {
         self.copy.rules()
     }
@@ -92,7 +92,7 @@
             Err(error) => return error.into(),
         };
         let summary = edit.change.summary(&changed);
-        let revision = self.copy.accept(changed.rules, changed.edits);
+        let revision = self.copy.accept(changed.rules, changed.line_edits);
         if self.history.len() == MAX_HISTORY {
             self.history.pop_front();
         }
--- a/crates/auburnbridge_config/tests/replication.rs
+++ b/crates/auburnbridge_config/tests/replication.rs
@@ -130,7 +130,7 @@
         base_digest,
         revision,
         digest,
-        edits: edits.to_vec(),
+        line_edits: edits.to_vec(),
     };
     let whole = |revision, text: &str| Delta::Whole {
         revision,
@@ -184,10 +184,10 @@
         }
     );
     for (since, count) in [(0, 2), (1, 1)] {
-        let Delta::Lines { edits, .. } = rules_state.delta_since(Revision(since)) else {
+        let Delta::Lines { line_edits, .. } = rules_state.delta_since(Revision(since)) else {
             panic!("an entry at revision {since} should get line edits");
         };
-        assert_eq!(edits.len(), count);
+        assert_eq!(line_edits.len(), count);
     }
 }
 
