--- a/crates/auburnbridge_membership/src/membership.rs
+++ b/crates/auburnbridge_membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! Accepted announcements of one entry, with leases and tombstones.
+//! Announcements that one process has accepted, with leases and tombstones.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,8 +6,8 @@
 use strum::{Display, IntoStaticStr};
 
 use crate::{
-    Announced, AnnouncedState, DEPARTURE_RETENTION, EntryAnnouncement, EntryMembership,
-    FORGET_AFTER, LEASE, MAX_DEPARTED, MAX_GROUPS, MAX_PRESENT,
+    Announced, AnnouncedState, EntryAnnouncement, EntryMembership, FORGET_AFTER, LEASE, MAX_GROUPS,
+    MAX_PRESENT, MAX_TOMBSTONES, TOMBSTONE_RETENTION,
 };
 
 /// Result of applying an announcement.
@@ -39,8 +39,10 @@
 
 #[derive(Clone, Debug)]
 pub(crate) enum Record<A> {
+    /// The sender is listed, with or without a lease.
     Present(Present<A>),
-    Departed(Departed<A>),
+    /// The sender announced its departure, or its record expired.
+    Tombstone(Tombstone<A>),
 }
 
 #[derive(Clone, Debug)]
@@ -55,7 +57,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Departed<A> {
+pub(crate) struct Tombstone<A> {
     pub(crate) announcement: A,
     since: Timestamp,
 }
@@ -83,7 +85,7 @@
     pub(crate) fn announcement(&self) -> &A {
         match self {
             Self::Present(present) => &present.announcement,
-            Self::Departed(departed) => &departed.announcement,
+            Self::Tombstone(tombstone) => &tombstone.announcement,
         }
     }
 }
@@ -105,12 +107,12 @@
     }
 }
 
-/// Accepted announcements of one entry, with leases and tombstones.
+/// Announcements that one process has accepted, with leases and tombstones.
 #[derive(Clone, Debug)]
 pub struct Membership<A: Announced> {
     pub(crate) groups: BTreeMap<A::Group, Group<A>>,
-    /// Tombstones ordered by time of departure, for their expiry.
-    departures: BTreeSet<(Timestamp, A::Group, A::Id)>,
+    /// Tombstones ordered by time of creation, for their expiry.
+    tombstones: BTreeSet<(Timestamp, A::Group, A::Id)>,
     present: usize,
     pub(crate) hash: u64,
     /// Number of exchanges answered; rotates the group with which a bounded message begins.
@@ -121,7 +123,7 @@
     fn default() -> Self {
         Self {
             groups: BTreeMap::new(),
-            departures: BTreeSet::new(),
+            tombstones: BTreeSet::new(),
             present: 0,
             hash: 0,
             answered_exchanges: 0,
@@ -141,8 +143,8 @@
     }
 
     /// Number of tombstones.
-    pub fn departed(&self) -> usize {
-        self.departures.len()
+    pub fn tombstone_count(&self) -> usize {
+        self.tombstones.len()
     }
 
     /// Applies an announcement received from its sender.
@@ -178,11 +180,12 @@
             .flat_map(|group| group.records.values())
             .filter_map(move |record| match record {
                 Record::Present(present) => Some((&present.announcement, present.liveness(now))),
-                Record::Departed(_) => None,
+                Record::Tombstone(_) => None,
             })
     }
 
-    /// Last known announcement of an id; its state is `Leaving` if the id departed by announcement.
+    /// Last known announcement of an id, which may have a tombstone; its state is `Leaving` if the
+    /// id announced its departure, but not if its record expired.
     pub fn get(&self, group: &A::Group, id: &A::Id) -> Option<&A> {
         self.record(group, id).map(Record::announcement)
     }
@@ -222,7 +225,7 @@
     }
 
     /// Replaces records not seen for [`FORGET_AFTER`] by tombstones, and drops tombstones after
-    /// [`DEPARTURE_RETENTION`], when no delayed message can restore their ids.
+    /// [`TOMBSTONE_RETENTION`], when no delayed message can restore their ids.
     ///
     /// Visits every record; callers run it every few seconds.
     pub fn expire(&mut self, now: Timestamp) {
@@ -234,17 +237,17 @@
                 Record::Present(present) if now.since(present.last_seen()) >= FORGET_AFTER => {
                     Some(present.announcement.clone())
                 }
-                Record::Present(_) | Record::Departed(_) => None,
+                Record::Present(_) | Record::Tombstone(_) => None,
             })
             .collect();
         for announcement in expired {
-            self.record_departure(now, announcement);
+            self.insert_tombstone(now, announcement);
         }
-        while let Some((since, _, _)) = self.departures.first() {
-            if now.since(*since) < DEPARTURE_RETENTION {
+        while let Some((since, _, _)) = self.tombstones.first() {
+            if now.since(*since) < TOMBSTONE_RETENTION {
                 return;
             }
-            self.drop_oldest_departure();
+            self.drop_oldest_tombstone();
         }
     }
 
@@ -272,7 +275,7 @@
             return Verdict::Full;
         }
         if announcement.state() == AnnouncedState::Leaving {
-            self.record_departure(now, announcement);
+            self.insert_tombstone(now, announcement);
             return Verdict::Left;
         }
         self.insert_present(now, announcement, stale);
@@ -331,7 +334,7 @@
         let records = &mut self.groups.get_mut(announcement.group())?.records;
         match records.get_mut(announcement.id())? {
             Record::Present(present) => Some(present),
-            Record::Departed(_) => None,
+            Record::Tombstone(_) => None,
         }
     }
 
@@ -344,23 +347,23 @@
     }
 
     /// Replaces the record of the id by a tombstone.
-    fn record_departure(&mut self, now: Timestamp, announcement: A) {
+    fn insert_tombstone(&mut self, now: Timestamp, announcement: A) {
         self.remove(&announcement);
-        if self.departures.len() >= MAX_DEPARTED {
-            self.drop_oldest_departure();
+        if self.tombstones.len() >= MAX_TOMBSTONES {
+            self.drop_oldest_tombstone();
         }
         let (group, id) = (announcement.group().clone(), announcement.id().clone());
-        self.departures.insert((now, group.clone(), id.clone()));
-        let departed = Departed {
+        self.tombstones.insert((now, group.clone(), id.clone()));
+        let tombstone = Tombstone {
             announcement,
             since: now,
         };
         let records = &mut self.groups.entry(group).or_default().records;
-        records.insert(id, Record::Departed(departed));
+        records.insert(id, Record::Tombstone(tombstone));
     }
 
-    fn drop_oldest_departure(&mut self) {
-        if let Some((_, group, id)) = self.departures.pop_first() {
+    fn drop_oldest_tombstone(&mut self) {
+        if let Some((_, group, id)) = self.tombstones.pop_first() {
             self.remove_record(&group, &id);
         }
     }
@@ -372,9 +375,9 @@
                 self.present -= 1;
                 self.xor_hashes(group, present.content_hash);
             }
-            Some(Record::Departed(departed)) => {
-                self.departures
-                    .remove(&(departed.since, group.clone(), id.clone()));
+            Some(Record::Tombstone(tombstone)) => {
+                self.tombstones
+                    .remove(&(tombstone.since, group.clone(), id.clone()));
             }
             None => {}
         }
@@ -395,8 +398,8 @@
     /// if the current one suffices.
     ///
     /// An entry has no disk on which to count its starts. Its incarnation is initially its start
-    /// time; when it learns of an earlier process of its VM with a higher rank, it adopts a higher
-    /// number.
+    /// time; when it learns of an earlier process of its VM whose last announcement supersedes its
+    /// own, it adopts a higher number.
     pub fn incarnation_after_restart(&self, own: &EntryAnnouncement) -> Option<Incarnation> {
         let known = self.record(&own.data_centre, &own.vm)?.announcement();
         let is_own = known.boot == own.boot && known.state <= own.state;
--- a/crates/auburnbridge_membership/src/sync.rs
+++ b/crates/auburnbridge_membership/src/sync.rs
@@ -104,9 +104,9 @@
                 Liveness::Stale if present.learned_stale => {}
                 Liveness::Stale => self.stale.push(present.announcement.clone()),
             },
-            Record::Departed(departed) => {
-                if departed.announcement.state() == AnnouncedState::Leaving {
-                    self.fresh.push(departed.announcement.clone());
+            Record::Tombstone(tombstone) => {
+                if tombstone.announcement.state() == AnnouncedState::Leaving {
+                    self.fresh.push(tombstone.announcement.clone());
                 }
             }
         }
@@ -241,7 +241,7 @@
         let announcement = record.announcement();
         let same_content = match record {
             Record::Present(present) => present.content_hash == version.content_hash,
-            Record::Departed(_) => false,
+            Record::Tombstone(_) => false,
         };
         let ours = (announcement.incarnation(), announcement.sequence());
         let theirs = (version.incarnation, version.sequence);
@@ -309,7 +309,7 @@
             .iter()
             .filter_map(|(id, record)| match record {
                 Record::Present(present) => Some(present.version(id)),
-                Record::Departed(_) => None,
+                Record::Tombstone(_) => None,
             })
             .collect()
     }
--- a/crates/auburnbridge_membership/tests/membership.rs
+++ b/crates/auburnbridge_membership/tests/membership.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use auburnbridge_membership::{
-    Announced, AnnouncedState, Announcement, DEPARTURE_RETENTION, EntryAnnouncement,
-    EntryMembership, FORGET_AFTER, Gossip, LEASE, Liveness, MAX_DEPARTED, MAX_PRESENT, Membership,
-    SyncMessage, TargetMembership, Verdict,
+    Announced, AnnouncedState, Announcement, EntryAnnouncement, EntryMembership, FORGET_AFTER,
+    Gossip, LEASE, Liveness, MAX_PRESENT, MAX_TOMBSTONES, Membership, SyncMessage,
+    TOMBSTONE_RETENTION, TargetMembership, Verdict,
 };
 use auburnbridge_types::{Incarnation, Millis, Revision, Sequence, Slots, Timestamp};
 use proptest::prelude::*;
@@ -102,7 +102,7 @@
         let verdict = members.announce(START, announcement.clone());
         assert_eq!(verdict, expected, "{announcement:?}");
     }
-    assert_eq!((members.len(), members.departed()), (1, 1));
+    assert_eq!((members.len(), members.tombstone_count()), (1, 1));
 }
 
 /// Guards against a duplicate that renews a lease, and against a delayed copy of the last
@@ -122,12 +122,12 @@
     members.expire(Timestamp(removed_at.0 - 1));
     assert_eq!(members.len(), 1);
     members.expire(removed_at);
-    assert_eq!((members.len(), members.departed()), (0, 1));
+    assert_eq!((members.len(), members.tombstone_count()), (0, 1));
     assert!(members.merge(removed_at, &[ready("a", 1, 2)]).is_empty());
     assert_eq!(members.merge(removed_at, &[ready("a", 1, 3)]).len(), 1);
     members.announce(removed_at, leaving("a", 1, 4));
-    members.expire(removed_at.after(DEPARTURE_RETENTION));
-    assert_eq!((members.len(), members.departed()), (0, 0));
+    members.expire(removed_at.after(TOMBSTONE_RETENTION));
+    assert_eq!((members.len(), members.tombstone_count()), (0, 0));
 }
 
 /// Guards against a dead target that persists because entries that start later keep forwarding its
@@ -167,10 +167,10 @@
         members.announce(START, ready("t0", 1, 2)),
         Verdict::Accepted
     );
-    for number in 0..=MAX_DEPARTED {
+    for number in 0..=MAX_TOMBSTONES {
         members.announce(START, leaving(&format!("d{number}"), 1, 1));
     }
-    assert_eq!(members.departed(), MAX_DEPARTED);
+    assert_eq!(members.tombstone_count(), MAX_TOMBSTONES);
 }
 
 fn entry(number: u8) -> EntryAnnouncement {
