--- a/crates/auburnbridge_ledger/src/command.rs
+++ b/crates/auburnbridge_ledger/src/command.rs
@@ -8,7 +8,7 @@
 
 use crate::MAX_ANSWER_SIZE;
 
-/// Identity of a keyed request.
+/// Identity of a request with an idempotency key.
 ///
 /// The idempotency key comes first, so that keys sort by creation time. The service is not part of
 /// the identity: a rule change between a send and its resend may move the route to another service,
@@ -58,11 +58,13 @@
     Grant {
         /// The request.
         key: LedgerKey,
-        /// Digest of the request, which distinguishes a resend from a reused key.
+        /// Digest of account, method, path and body, which distinguishes a resend from a reused
+        /// key.
         body_digest: BodyDigest,
         /// The attempt that will dispatch the request.
         attempt: AttemptId,
-        /// Log time at which the outcome of an unfinished attempt becomes unknown.
+        /// Log time at which the grant ends: from then on, a resend gets `Unknown` if the attempt
+        /// has not ended. It is the caller's deadline plus a grace period.
         deadline: Timestamp,
         /// How often the caller has sent the request before, if stated.
         ///
@@ -101,7 +103,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Reply {
-    /// The attempt holds the key and may dispatch the request once, before its deadline.
+    /// The attempt holds the key and may dispatch the request once, before the caller's deadline.
     Granted,
     /// Another attempt holds the key.
     InProgress,
@@ -113,11 +115,17 @@
     BodyMismatch,
     /// The key is past its retention, or its creation time is too far ahead of log time.
     Expired,
-    /// The attempt does not hold the key, and this command can't grant it.
+    /// The attempt does not hold the key.
     ///
-    /// In reply to a Grant, nothing has run under the key so far: the attempt or one of a later
-    /// send has withdrawn, or the attempt's deadline has passed. An attempt of another send may
-    /// still run, so `not-run` is certain only for a first send.
+    /// In reply to a Grant, no attempt holds the key or has run the request so far. The Grant was
+    /// refused for one of three reasons:
+    ///
+    /// - The attempt, or a later one of the same process, has withdrawn.
+    /// - An attempt of a later send has withdrawn.
+    /// - The deadline of the Grant has passed.
+    ///
+    /// The entry may tell the caller `not-run` only for a first send. For a later send, the outcome
+    /// is `unknown`, since an attempt of another send may still be granted and run.
     NotHolder,
     /// A limit of the ledger refuses the key; the same guarantees as for `NotHolder` apply.
     Full,
--- a/crates/auburnbridge_ledger/src/ledger.rs
+++ b/crates/auburnbridge_ledger/src/ledger.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Number of records.
+    /// Number of keys with a record, including expired ones that have not been dropped yet.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -73,12 +73,12 @@
         self.records.is_empty()
     }
 
-    /// Total size of the stored answers.
+    /// Total size of the stored answers, which [`Limits::max_stored_size`] bounds.
     pub fn stored_size(&self) -> ByteSize {
         self.stored_size
     }
 
-    /// The current retention of keys.
+    /// Time from the creation of a key until it expires.
     pub fn retention(&self) -> Millis {
         self.retention
     }
--- a/crates/auburnbridge_ledger/src/lib.rs
+++ b/crates/auburnbridge_ledger/src/lib.rs
@@ -2,12 +2,19 @@
 //!
 //! The ledger is a deterministic state machine over the replicated log: every replica applies the
 //! same commands with the same log times and reaches the same state and replies. Log time is the
-//! timestamp of a log entry; the ledger reads no clock. The work per command is bounded.
+//! timestamp of a log record; the ledger reads no clock. The work per command is bounded.
 //!
-//! At most one attempt holds a key at a time. A withdrawn attempt is recorded for as long as its
-//! key, as the highest withdrawn sequence of its process, so that a delayed duplicate of its Grant
-//! is refused. At most [`MAX_WITHDRAWING_PROCESSES`] processes are recorded per key; once a key
-//! reaches that bound, a Grant from another process gets [`Reply::Full`].
+//! The commands come from entries, the proxy processes between callers and targets. A *send* is one
+//! transmission of a request by its caller; resends carry the same key. An *attempt* belongs to one
+//! send: the entry process that received the send requests a grant under a new
+//! [`AttemptId`](auburnbridge_types::AttemptId). The attempt that gets the grant holds the key, may
+//! dispatch the request, and ends with a Withdraw, Conclude or Abandon.
+//!
+//! At most one attempt holds a key at a time. For each key, the ledger keeps the highest sequence
+//! of a withdrawn attempt per entry process. It refuses a Grant of that process with that or a
+//! lower sequence, which may be a delayed duplicate. At most [`MAX_WITHDRAWING_PROCESSES`]
+//! processes are recorded per key; once a key reaches that bound, a Grant from another process gets
+//! [`Reply::Full`].
 //!
 //! A caller may resend a request while an attempt of an earlier send is still pending. Once an
 //! attempt of the later send has withdrawn, the caller may have been told `not-run`, so the earlier
--- a/crates/auburnbridge_ledger/src/record.rs
+++ b/crates/auburnbridge_ledger/src/record.rs
@@ -11,7 +11,8 @@
     pub(crate) body_digest: BodyDigest,
     pub(crate) state: State,
     withdrawn: Vec<WithdrawnAttempts>,
-    /// The caller's latest send with a withdrawn attempt, identified by its previous attempts.
+    /// The caller's latest send with a withdrawn attempt, identified by its number of earlier
+    /// sends.
     latest_withdrawn_send: Option<u32>,
 }
 
@@ -23,6 +24,7 @@
     /// The attempt may dispatch the request.
     Held {
         attempt: AttemptId,
+        /// Log time at which the grant ends, as stated by the Grant.
         deadline: Timestamp,
         previous_attempts: Option<u32>,
     },
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Stores the holder's answer, even after the deadline.
+    /// Stores the holder's answer, even after the grant's deadline.
     pub(crate) fn conclude(&mut self, attempt: AttemptId, answer: StoredAnswer) -> Reply {
         match &self.state {
             State::Held {
