--- a/crates/auburnbridge_entry/src/attempt.rs
+++ b/crates/auburnbridge_entry/src/attempt.rs
@@ -20,11 +20,12 @@
 /// Header of a target's answer that states that the target did not run the request.
 pub const SHED_HEADER: &str = "Auburnbridge-Shed";
 
-/// Time without an answer that counts as a timeout of the target even if the route allows more.
+/// Minimum duration for an exchange that ends at the caller's deadline to count as evidence against
+/// the target; the timeout of the route, if that is shorter.
 const UNRESPONSIVE_AFTER: Millis = Millis(1_000);
 
 /// Result of one exchange with a target.
-pub(crate) enum AttemptResult {
+pub(crate) enum ExchangeOutcome {
     /// Complete answer of the target.
     Answered(Response),
     /// The target had no free slot and did not run the request.
@@ -42,14 +43,14 @@
     /// target.
     ///
     /// `disconnect` cancels the exchange, but not the check whether the target crashed.
-    pub(crate) async fn attempt(
+    pub(crate) async fn run_exchange(
         &self,
         req: &CallerRequest,
         attempt: &AttemptId,
         assignment: Assignment,
         disconnect: Option<&Disconnect>,
-    ) -> AttemptResult {
-        let start = self.ports.clock.now();
+    ) -> ExchangeOutcome {
+        let start = self.deps.clock.now();
         info!(
             "routing service={} target={} attempt={attempt} class={} {}",
             req.route.service,
@@ -65,9 +66,9 @@
         let is_reused = exchange.as_ref().is_some_and(|exchange| exchange.reused);
         let result = match exchange {
             Some(exchange) => self.classify(exchange, &assignment).await,
-            None => AttemptResult::Cancelled,
+            None => ExchangeOutcome::Cancelled,
         };
-        let now = self.ports.clock.now();
+        let now = self.deps.clock.now();
         let time = now.since(start);
         info!(
             "exchange service={} target={} attempt={attempt} reused={is_reused} time={time} result={}",
@@ -76,7 +77,7 @@
             result.summary()
         );
         let service = ("service", req.route.service.as_str());
-        let metrics = &self.ports.metrics;
+        let metrics = &self.deps.metrics;
         metrics.count(Counter::Exchange, &[service, ("result", result.name())]);
         metrics.time(Timer::ExchangeTime, time, &[service]);
         assignment.finish(now, result.observation(time, req.route.timeout));
@@ -96,7 +97,7 @@
             .clone()
             .with_body_bytes(req.route.largest_answer);
         let class = request_class(req.route.class);
-        self.ports
+        self.deps
             .targets
             .exchange(assignment.address(), &message, class, &limits, req.deadline)
             .await
@@ -104,27 +105,27 @@
 
     /// Classifies the result of an exchange; after a lost connection, checks whether the target
     /// crashed.
-    async fn classify(&self, exchange: Exchange, assignment: &Assignment) -> AttemptResult {
+    async fn classify(&self, exchange: Exchange, assignment: &Assignment) -> ExchangeOutcome {
         match exchange.result {
-            ExchangeResult::Answered(response) if is_shed(&response) => AttemptResult::Shed,
+            ExchangeResult::Answered(response) if is_shed(&response) => ExchangeOutcome::Shed,
             ExchangeResult::Answered(mut response) => {
                 // Only the entry may set these headers.
                 response.headers.remove(OUTCOME_HEADER);
                 response.headers.remove(REPLAYED_HEADER);
-                AttemptResult::Answered(response)
+                ExchangeOutcome::Answered(response)
             }
-            ExchangeResult::NotSent(reason) => AttemptResult::NotSent(reason),
+            ExchangeResult::NotSent(reason) => ExchangeOutcome::NotSent(reason),
             ExchangeResult::Unknown {
                 reason,
                 answer_started,
             } => {
                 let connection_lost =
                     matches!(reason, Unknown::Framing(error) if is_connection_loss(error));
-                let targets = &self.ports.targets;
+                let targets = &self.deps.targets;
                 let crashed = connection_lost
                     && !answer_started
                     && targets.refuses_connections(assignment.address()).await;
-                AttemptResult::Unknown { reason, crashed }
+                ExchangeOutcome::Unknown { reason, crashed }
             }
         }
     }
@@ -143,7 +144,7 @@
     disconnected.or(async { Some(future.await) }).await
 }
 
-impl AttemptResult {
+impl ExchangeOutcome {
     fn name(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Evidence about the target, given the `time` of the attempt and the `timeout` of the route.
+    /// Evidence about the target, given the `time` of the exchange and the `timeout` of the route.
     fn observation(&self, time: Millis, timeout: Millis) -> Observation {
         match self {
             Self::Answered(response) if response.status >= 500 => Observation::ServerError,
--- a/crates/auburnbridge_entry/src/backoff.rs
+++ b/crates/auburnbridge_entry/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Backoff between attempts.
+//! Backoff between exchanges that targets shed, and between Grant commands.
 
 use auburnbridge_types::{Millis, Timestamp};
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Backoff while another attempt with the same key is in progress.
+    /// Backoff while another attempt holds the same key.
     pub(crate) fn between_grants() -> Self {
         Self {
             next: GRANT_INITIAL_WAIT,
@@ -34,9 +34,10 @@
         }
     }
 
-    /// Waits before the next attempt; returns `false` at once if the deadline would pass first.
+    /// Waits before the next exchange or Grant command; returns `false` at once if the deadline
+    /// would pass first.
     pub(crate) async fn wait(&mut self, entry: &Entry, deadline: Timestamp) -> bool {
-        let clock = &entry.ports.clock;
+        let clock = &entry.deps.clock;
         let wait = Millis(entry.random_in(self.next.0 / 2..=self.next.0));
         self.next = Millis((self.next.0 * 2).min(self.max.0));
         if clock.now().after(wait) >= deadline {
--- a/crates/auburnbridge_entry/src/dispatch.rs
+++ b/crates/auburnbridge_entry/src/dispatch.rs
@@ -9,7 +9,7 @@
 use auburnbridge_types::{AttemptId, BodyDigest, ErrorKind};
 
 use crate::admission::{NotAdmitted, Permit};
-use crate::attempt::{AttemptResult, request_class, unless_disconnected};
+use crate::attempt::{ExchangeOutcome, request_class, unless_disconnected};
 use crate::backoff::Backoff;
 use crate::entry::Entry;
 use crate::fleets::{Assignment, ServiceFleet};
@@ -35,8 +35,9 @@
     digest: BodyDigest,
     /// Cancels the request when the caller disconnects, if given.
     disconnect: Option<&'a Disconnect>,
-    /// Admission of the request, held from the first dispatch on.
+    /// Permit of the service's admission queue, held from the first dispatch on.
     permit: Option<Permit>,
+    /// Targets tried since the last wait.
     tried: Vec<TargetKey>,
     backoff: Backoff,
     /// Reason why the last tried target gave no answer.
@@ -69,20 +70,21 @@
         &self.service
     }
 
-    /// Tries targets until one may have run the request; `attempt` returns the id of each attempt.
-    pub(crate) async fn dispatch(&mut self, attempt: impl Fn() -> AttemptId) -> DispatchResult {
+    /// Tries targets until one may have run the request. `attempt_id` is called before each
+    /// exchange and returns its attempt id, which may be the same each time.
+    pub(crate) async fn dispatch(&mut self, attempt_id: impl Fn() -> AttemptId) -> DispatchResult {
         if let Some(refusal) = self.refusal() {
             return DispatchResult::NotRun(refusal);
         }
-        if let Err(refused) = self.wait_for_permit().await {
-            return refused;
+        if let Err(result) = self.wait_for_permit().await {
+            return result;
         }
         loop {
             if let Some(refusal) = self.refusal() {
                 return DispatchResult::NotRun(refusal);
             }
             let class = request_class(self.req.route.class);
-            let now = self.entry.ports.clock.now();
+            let now = self.entry.deps.clock.now();
             let Some(assignment) = self.service.choose(now, class, &self.tried) else {
                 match self.wait_to_retry().await {
                     Some(true) => continue,
@@ -90,7 +92,7 @@
                     None => return DispatchResult::Cancelled,
                 }
             };
-            if let Some(result) = self.try_target(&attempt(), assignment).await {
+            if let Some(result) = self.try_target(&attempt_id(), assignment).await {
                 return result;
             }
         }
@@ -132,7 +134,7 @@
         }
         // After a wait or a pause of this process, the caller may have stopped waiting for the
         // answer.
-        if self.entry.ports.clock.now() < self.req.deadline {
+        if self.entry.deps.clock.now() < self.req.deadline {
             return None;
         }
         Some(self.failure.clone().unwrap_or_else(|| {
@@ -141,7 +143,8 @@
         }))
     }
 
-    /// Waits until every target may be tried again. Returns `false` if the request must not wait,
+    /// Waits one backoff interval, after which all targets may be tried again. Returns `Some(true)`
+    /// after the wait, `Some(false)` if the request must not wait or its deadline would pass first,
     /// and `None` if the caller disconnected.
     async fn wait_to_retry(&mut self) -> Option<bool> {
         let failure = self.failure.as_ref();
@@ -168,24 +171,24 @@
         self.tried.push(assignment.key());
         let target = assignment.target().clone();
         let incarnation = assignment.incarnation();
-        let start = self.entry.ports.clock.now();
+        let start = self.entry.deps.clock.now();
         let result = self
             .entry
-            .attempt(self.req, attempt, assignment, self.disconnect)
+            .run_exchange(self.req, attempt, assignment, self.disconnect)
             .await;
-        if let (AttemptResult::Answered(_), Some(permit)) = (&result, &self.permit) {
-            permit.record_answer(self.entry.ports.clock.now().since(start));
+        if let (ExchangeOutcome::Answered(_), Some(permit)) = (&result, &self.permit) {
+            permit.record_answer(self.entry.deps.clock.now().since(start));
         }
         let failure = match result {
-            AttemptResult::Answered(response) => return Some(DispatchResult::Answered(response)),
-            AttemptResult::Cancelled => return Some(DispatchResult::Cancelled),
-            AttemptResult::Shed => {
+            ExchangeOutcome::Answered(response) => return Some(DispatchResult::Answered(response)),
+            ExchangeOutcome::Cancelled => return Some(DispatchResult::Cancelled),
+            ExchangeOutcome::Shed => {
                 Problem::new(ErrorKind::Overloaded, "every target tried shed the request")
             }
-            AttemptResult::NotSent(reason) => {
+            ExchangeOutcome::NotSent(reason) => {
                 Problem::new(reason.kind(), format!("{target}: {reason:?}"))
             }
-            AttemptResult::Unknown { reason, crashed } => {
+            ExchangeOutcome::Unknown { reason, crashed } => {
                 let failure = Problem::new(reason.kind(), format!("{target}: {reason:?}"));
                 self.failure = Some(failure.clone());
                 if crashed {
--- a/crates/auburnbridge_entry/src/entry.rs
+++ b/crates/auburnbridge_entry/src/entry.rs
@@ -60,7 +60,7 @@
 }
 
 /// External dependencies of an [`Entry`]; tests replace them with fakes.
-pub struct Ports {
+pub struct Dependencies {
     /// Clock for deadlines, waits and measurements.
     pub clock: Arc<dyn Clock>,
     /// Client of the ledger that the keepers replicate.
@@ -91,9 +91,10 @@
 /// Lock order: `rules_update`, then the locks of the fleets. No other lock is held together with
 /// `accounts`, `poison` or `rng`.
 pub struct Entry {
-    pub(crate) ports: Ports,
+    pub(crate) deps: Dependencies,
     pub(crate) fleets: Fleets,
     pub(crate) ledger: InstrumentedLedger,
+    /// Pending tasks of [`Entry::settle_later`].
     settlements: TaskTracker,
     rules: ArcSwapOption<RulesInForce>,
     /// Held while rules are put in force, so that the fleets and `rules` are updated in the same
@@ -103,29 +104,31 @@
     poison: Mutex<PoisonTable>,
     pub(crate) answer_limits: Limits,
     vm: VmId,
+    /// Random number that tells this process from other processes of the VM in its attempt ids.
     boot: u64,
+    /// Number of attempt ids issued so far.
     attempts: AtomicU64,
     rng: Mutex<StdRng>,
 }
 
 impl Entry {
     /// Creates an entry without rules; it rejects all requests until rules are in force.
-    pub fn new(location: Location, answer_limits: Limits, ports: Ports) -> Self {
-        let mut rng = StdRng::seed_from_u64(ports.seed);
+    pub fn new(location: Location, answer_limits: Limits, deps: Dependencies) -> Self {
+        let mut rng = StdRng::seed_from_u64(deps.seed);
         Self {
             fleets: Fleets::new(
                 location.data_centre,
-                Arc::clone(&ports.clock),
-                Arc::clone(&ports.metrics),
-                ports.seed,
+                Arc::clone(&deps.clock),
+                Arc::clone(&deps.metrics),
+                deps.seed,
             ),
             ledger: InstrumentedLedger {
-                client: Arc::clone(&ports.ledger),
-                clock: Arc::clone(&ports.clock),
-                metrics: Arc::clone(&ports.metrics),
+                client: Arc::clone(&deps.ledger),
+                clock: Arc::clone(&deps.clock),
+                metrics: Arc::clone(&deps.metrics),
             },
             settlements: TaskTracker::default(),
-            ports,
+            deps,
             rules: ArcSwapOption::empty(),
             rules_update: Mutex::default(),
             accounts: Mutex::default(),
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Fleets of all services.
+    /// Targets of all services, grouped into one fleet per service.
     pub fn fleets(&self) -> &Fleets {
         &self.fleets
     }
@@ -170,18 +173,18 @@
 
     /// Merges another entry's evidence about suspected targets.
     pub fn merge_evidence(&self, from: &VmId, evidence: &[ServiceEvidence]) {
-        let now = self.ports.clock.now();
+        let now = self.deps.clock.now();
         self.fleets.merge_evidence(now, from, evidence);
     }
 
     /// Records a crash that another entry reported.
     pub fn record_crash(&self, report: CrashReport) {
-        let now = self.ports.clock.now();
+        let now = self.deps.clock.now();
         self.poison.lock().record(now, report);
     }
 
     pub(crate) fn is_poisoned(&self, digest: &BodyDigest) -> bool {
-        let now = self.ports.clock.now();
+        let now = self.deps.clock.now();
         self.poison.lock().is_poisoned(now, digest)
     }
 
@@ -198,7 +201,7 @@
     }
 
     async fn handle(&self, message: Request, disconnect: Disconnect) -> Response {
-        let now = self.ports.clock.now();
+        let now = self.deps.clock.now();
         let Some(rules) = self.rules() else {
             return Problem::new(ErrorKind::RulesUnavailable, "no rules have arrived yet")
                 .for_possible_resend()
@@ -214,7 +217,7 @@
                 return problem.to_response();
             }
         };
-        if let Err(problem) = self.admit(&req, &rules.rules) {
+        if let Err(problem) = self.check_account_limit(&req, &rules.rules) {
             return self.refuse(&req, &req.reject_without_grant(problem));
         }
         let result = match req.route.class {
@@ -230,18 +233,19 @@
             ("service", req.route.service.as_str()),
             ("class", req.route.class.into()),
         ];
-        let time = self.ports.clock.now().since(req.arrived);
-        self.ports.metrics.time(Timer::RequestTime, time, &tags);
+        let time = self.deps.clock.now().since(req.arrived);
+        self.deps.metrics.time(Timer::RequestTime, time, &tags);
         match result {
             Ok(response) => {
-                self.ports.metrics.count(Counter::RequestAnswered, &tags);
+                self.deps.metrics.count(Counter::RequestAnswered, &tags);
                 response
             }
             Err(problem) => self.refuse(req, &problem),
         }
     }
 
-    fn admit(&self, req: &CallerRequest, rules: &Rules) -> Result<(), Problem> {
+    /// Rejects a request that exceeds the rate limit of its account.
+    fn check_account_limit(&self, req: &CallerRequest, rules: &Rules) -> Result<(), Problem> {
         let account = rules.account(&req.account);
         let limit = AccountLimit {
             rate: account.limit,
@@ -257,7 +261,7 @@
 
     /// Logs and counts a rejection and returns its response.
     fn refuse(&self, req: &CallerRequest, problem: &Problem) -> Response {
-        let waited = self.ports.clock.now().since(req.arrived);
+        let waited = self.deps.clock.now().since(req.arrived);
         info!(
             "request refused service={} account={} method={} path={} kind={} outcome={} after={waited} detail={:?}",
             req.route.service,
@@ -273,31 +277,29 @@
             ("kind", problem.kind.into()),
             ("outcome", problem.outcome().into()),
         ];
-        self.ports.metrics.count(Counter::RequestRefused, &tags);
+        self.deps.metrics.count(Counter::RequestRefused, &tags);
         problem.to_response()
     }
 
-    /// Sends the command that ends an attempt to the ledger in the background, so that the caller
-    /// gets its answer at once.
+    /// Settles an attempt in the background, so that the caller gets its answer at once. To settle
+    /// is to send the ledger the command that ends the attempt: `Withdraw`, `Conclude` or
+    /// `Abandon`.
     ///
     /// A resend waits until the answer is stored. If this process exits before that, the resend is
     /// answered with the outcome `unknown`, and the request does not run again.
     pub(crate) fn settle_later(&self, command: Command) {
         let ledger = self.ledger.clone();
         let guard = self.settlements.begin();
-        self.ports.tasks.spawn(Box::pin(async move {
+        self.deps.tasks.spawn(Box::pin(async move {
             ledger.settle(command).await;
             drop(guard);
         }));
     }
 
-    /// Waits up to `limit` for the pending commands to the ledger; returns the number of those that
-    /// remain.
+    /// Waits up to `limit` for the pending settlements; returns the number of those that remain.
     pub async fn wait_for_settlements(&self, limit: Millis) -> usize {
         self.settlements.close();
-        self.settlements
-            .wait(self.ports.clock.as_ref(), limit)
-            .await
+        self.settlements.wait(self.deps.clock.as_ref(), limit).await
     }
 
     /// Records the crash of a target and reports it to the other entries.
@@ -306,9 +308,9 @@
             "crash target={} incarnation={} request={}",
             report.target, report.incarnation, report.request
         );
-        self.ports.metrics.count(Counter::Crash, &[]);
+        self.deps.metrics.count(Counter::Crash, &[]);
         self.record_crash(report.clone());
-        self.ports.crashes.report(report).await;
+        self.deps.crashes.report(report).await;
     }
 }
 
--- a/crates/auburnbridge_entry/src/fleets.rs
+++ b/crates/auburnbridge_entry/src/fleets.rs
@@ -1,4 +1,5 @@
-//! Fleets of the targets of all services, shared by all requests in flight.
+//! The targets of each service, grouped into one fleet per service and shared by all requests in
+//! flight.
 //!
 //! Lock order: the map of services, then one fleet, then its admission queue. No lock is held
 //! across an await point.
@@ -111,7 +112,7 @@
         })
     }
 
-    /// Counts a first attempt for the retry budget.
+    /// Adds a request to the retry budget; the budget allows retries as a share of these requests.
     pub fn record_request(&self, now: Timestamp) {
         self.state.lock().retries.record_request(now);
     }
@@ -259,7 +260,7 @@
         }
     }
 
-    /// Names of the services.
+    /// Services that have a fleet, in no particular order.
     pub fn names(&self) -> Vec<ServiceName> {
         self.services.read().keys().cloned().collect()
     }
--- a/crates/auburnbridge_entry/src/idempotent.rs
+++ b/crates/auburnbridge_entry/src/idempotent.rs
@@ -1,4 +1,5 @@
-//! Idempotent requests: retried on other targets within the retry budget and the deadline.
+//! Requests of the class `Idempotent`: retried on other targets within the retry budget and the
+//! deadline.
 
 use auburnbridge_caller::{Disconnect, Problem};
 use auburnbridge_http::Response;
@@ -21,19 +22,19 @@
     loop {
         match dispatcher.dispatch(|| entry.next_attempt()).await {
             DispatchResult::Answered(response) => return Ok(response),
-            // An earlier attempt may have run, even if no byte of the later one was sent.
+            // The earlier exchange may have run, even if no byte of the later one was sent.
             DispatchResult::NotRun(problem) if may_have_run => {
                 return Err(problem.for_possible_resend());
             }
             DispatchResult::NotRun(problem) => return Err(problem),
             DispatchResult::Unknown(problem) => {
                 may_have_run = true;
-                let now = entry.ports.clock.now();
+                let now = entry.deps.clock.now();
                 if now >= req.deadline || !dispatcher.service().try_retry(now) {
                     return Err(problem);
                 }
                 let service = ("service", req.route.service.as_str());
-                entry.ports.metrics.count(Counter::Retry, &[service]);
+                entry.deps.metrics.count(Counter::Retry, &[service]);
             }
             DispatchResult::Cancelled => {
                 let detail = "the caller disconnected";
--- a/crates/auburnbridge_entry/src/keeper_client.rs
+++ b/crates/auburnbridge_entry/src/keeper_client.rs
@@ -14,7 +14,7 @@
 use auburnbridge_types::{BoxFuture, Clock, DataCentre, Millis, Revision};
 use log::{debug, warn};
 
-use crate::ledger_client::{LedgerClient, LedgerUnavailable};
+use crate::ledger_client::{KeepersUnavailable, LedgerClient};
 
 /// Timeout of one call to one keeper; covers a disk sync and a round trip between data centres.
 const CALL_TIMEOUT: Millis = Millis(1_000);
@@ -79,7 +79,7 @@
     }
 
     /// Submits an edit of the rules.
-    pub async fn submit(&self, edit: Edit) -> Result<EditReply, LedgerUnavailable> {
+    pub async fn submit(&self, edit: Edit) -> Result<EditReply, KeepersUnavailable> {
         match self.command(&Request::Edit(edit)).await? {
             Reply::Edit(reply) => Ok(reply),
             reply => Err(unexpected_reply(&reply)),
@@ -89,7 +89,7 @@
     /// Sends a command until a leader has accepted it.
     ///
     /// A command whose reply was lost is sent again; its id makes it idempotent.
-    async fn command(&self, request: &Request) -> Result<Reply, LedgerUnavailable> {
+    async fn command(&self, request: &Request) -> Result<Reply, KeepersUnavailable> {
         let give_up_at = self.clock.now().after(MAX_ELECTION_WAIT);
         let may_wait = self.has_quorum.load(Ordering::Relaxed);
         let timeout = if may_wait {
@@ -128,7 +128,7 @@
                 if self.has_quorum.swap(false, Ordering::Relaxed) {
                     warn!("keepers unavailable: {last_reason}");
                 }
-                return Err(LedgerUnavailable {
+                return Err(KeepersUnavailable {
                     reason: last_reason,
                 });
             }
@@ -149,7 +149,7 @@
 }
 
 impl LedgerClient for KeeperClient {
-    fn apply(&self, command: Command) -> BoxFuture<'_, Result<LedgerReply, LedgerUnavailable>> {
+    fn apply(&self, command: Command) -> BoxFuture<'_, Result<LedgerReply, KeepersUnavailable>> {
         Box::pin(async move {
             match self.command(&Request::Ledger(command)).await? {
                 Reply::Ledger(reply) => Ok(reply),
@@ -159,9 +159,9 @@
     }
 }
 
-fn unexpected_reply(reply: &Reply) -> LedgerUnavailable {
+fn unexpected_reply(reply: &Reply) -> KeepersUnavailable {
     let name: &'static str = reply.into();
-    LedgerUnavailable {
+    KeepersUnavailable {
         reason: format!("the keeper answered {name}"),
     }
 }
--- a/crates/auburnbridge_entry/src/keyed.rs
+++ b/crates/auburnbridge_entry/src/keyed.rs
@@ -1,5 +1,5 @@
-//! Non-idempotent requests: at most one dispatch per idempotency key, which the ledger grants
-//! before the first byte is sent to a target.
+//! Requests of the class `Once`, which carry an idempotency key: at most one dispatch per key,
+//! which the ledger grants before the first byte is sent to a target.
 
 use async_std::io::Cursor;
 use auburnbridge_caller::Problem;
@@ -16,15 +16,16 @@
 /// Header of an answer that an earlier attempt stored.
 pub(crate) const REPLAYED_HEADER: &str = "Auburnbridge-Replayed";
 
-/// Time after the caller's deadline for which the ledger still treats a grant as in progress.
+/// Time from the caller's deadline to that of the grant.
 ///
-/// A withdrawal that arrives later does not release the key, and a request that is shed until its
-/// deadline withdraws at that moment. The grace also covers a difference between this clock and log
+/// A withdrawal that the ledger applies after the grant's deadline does not release the key. A
+/// request that is shed until the caller's deadline withdraws at that moment, so its withdrawal
+/// must still have time to arrive. The grace also covers a difference between this clock and log
 /// time.
 const SETTLE_GRACE: Millis = Millis(2_000);
 
-/// Serves a keyed request. It continues when its caller disconnects, so that a resend gets the
-/// answer.
+/// Serves a request of the class `Once`. It continues when its caller disconnects, so that a resend
+/// gets the answer.
 pub(crate) async fn serve(entry: &Entry, req: &CallerRequest) -> Result<Response, Problem> {
     match acquire(entry, req).await {
         Ok(Grant::Held { key, attempt }) => run_granted(entry, req, key, attempt).await,
@@ -121,7 +122,7 @@
             entry.settle_later(Command::Abandon { key, attempt });
             Err(problem)
         }
-        DispatchResult::Cancelled => unreachable!("a keyed request is never cancelled"),
+        DispatchResult::Cancelled => unreachable!("a `Once` request is never cancelled"),
     }
 }
 
--- a/crates/auburnbridge_entry/src/ledger_client.rs
+++ b/crates/auburnbridge_entry/src/ledger_client.rs
@@ -7,28 +7,29 @@
 use auburnbridge_types::{BoxFuture, Clock, Millis};
 use log::warn;
 
-/// Error of a command without a reply; the ledger may or may not have applied it.
+/// Error of a command to the keepers, for the ledger or the rules, that got no usable reply. The
+/// keepers may or may not have applied it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LedgerUnavailable {
+pub struct KeepersUnavailable {
     /// Answer of the keepers, or the reason why they are unreachable.
     pub reason: String,
 }
 
-impl std::fmt::Display for LedgerUnavailable {
+impl std::fmt::Display for KeepersUnavailable {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.reason)
     }
 }
 
-impl std::error::Error for LedgerUnavailable {}
+impl std::error::Error for KeepersUnavailable {}
 
 /// Applies commands to the replicated ledger.
 pub trait LedgerClient: Send + Sync {
     /// Applies one command; completes after a quorum of keepers has synced it to disk.
-    fn apply(&self, command: Command) -> BoxFuture<'_, Result<Reply, LedgerUnavailable>>;
+    fn apply(&self, command: Command) -> BoxFuture<'_, Result<Reply, KeepersUnavailable>>;
 }
 
-/// Maximum number of attempts to send the command that ends a request.
+/// Maximum number of times that the command that ends an attempt is sent.
 const SETTLE_ATTEMPTS: u32 = 3;
 const SETTLE_RETRY_INTERVAL: Millis = Millis(1_000);
 
@@ -42,7 +43,7 @@
 
 impl InstrumentedLedger {
     /// Applies one command and records its metrics.
-    pub(crate) async fn apply(&self, command: Command) -> Result<Reply, LedgerUnavailable> {
+    pub(crate) async fn apply(&self, command: Command) -> Result<Reply, KeepersUnavailable> {
         let name: &'static str = (&command).into();
         let start = self.clock.now();
         let reply = self.client.apply(command).await;
@@ -54,8 +55,9 @@
         reply
     }
 
-    /// Sends the command that ends an attempt, with retries. If the keepers remain unavailable, the
-    /// key stays in progress and its outcome becomes `unknown` after its deadline, which is safe.
+    /// Sends the command that ends an attempt (`Withdraw`, `Conclude` or `Abandon`), with retries.
+    /// If the keepers remain unavailable, the key stays in progress and its outcome becomes
+    /// `unknown` after the grant's deadline, which is safe.
     pub(crate) async fn settle(&self, command: Command) {
         let name = command.to_string();
         for attempt in 1..=SETTLE_ATTEMPTS {
--- a/crates/auburnbridge_entry/src/neighbours.rs
+++ b/crates/auburnbridge_entry/src/neighbours.rs
@@ -1,7 +1,7 @@
 //! State that entries replicate among each other: targets, entries, crash reports and rules.
 //!
-//! Lock order: `targets`, then `entries`, then a rumour queue. No lock is held across an await
-//! point.
+//! All other entries are neighbours; there is no topology. Only `own` and `entries` are ever held
+//! together, in this order. No lock is held across an await point.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -21,8 +21,8 @@
 
 use crate::entry::CrashReporter;
 
-/// Number of entries to which each entry forwards a new announcement; two more rounds reach 16
-/// entries.
+/// Number of entries to which an entry forwards a new announcement. These forward it in turn, so
+/// the second round reaches up to 16 more entries.
 const FANOUT: usize = 4;
 /// Maximum wait for the acknowledgements of a crash report.
 const CRASH_REPORT_TIMEOUT: Millis = Millis(100);
@@ -36,7 +36,9 @@
 
 /// State that this entry has received in announcements and from other entries.
 pub struct Neighbours {
+    /// Latest announcement of this entry.
     own: Mutex<EntryAnnouncement>,
+    /// Configured entries that are contacted even if no announcement of them has arrived.
     seeds: Vec<PeerAddress>,
     transport: Arc<dyn Transport>,
     clock: Arc<dyn Clock>,
@@ -341,7 +343,8 @@
     }
 }
 
-/// Converts an announcement to a member of a fleet.
+/// Converts an announcement to a member of a fleet. A fresh announcement, one with a lease, makes
+/// the target ready. Announcements of leaving targets don't get here.
 fn member(announcement: &Announcement, liveness: Liveness, now: Timestamp) -> Member {
     Member {
         id: announcement.target.clone(),
--- a/crates/auburnbridge_entry/src/request.rs
+++ b/crates/auburnbridge_entry/src/request.rs
@@ -6,13 +6,13 @@
 use auburnbridge_types::{AccountId, BodyDigest, ErrorKind, IdempotencyKey, Millis, Timestamp};
 use sha2::{Digest, Sha256};
 
-/// Header with the idempotency key of a non-idempotent request.
+/// Header with the idempotency key of a request of the class `Once`.
 pub const KEY_HEADER: &str = "Idempotency-Key";
 /// Header with the time that the caller waits for the answer, in milliseconds.
 pub const DEADLINE_HEADER: &str = "Auburnbridge-Deadline-Ms";
 /// Header with the caller's account.
 pub const ACCOUNT_HEADER: &str = "Auburnbridge-Account";
-/// Header with the number of earlier attempts of the same request.
+/// Header with the number of earlier sends of the same request.
 pub const PREVIOUS_ATTEMPTS_HEADER: &str = "Auburnbridge-Previous-Attempts";
 /// Account of a request without an account header.
 const ANONYMOUS: &str = "anonymous";
@@ -39,7 +39,7 @@
 impl CallerRequest {
     /// Matches a request to a route and parses its headers.
     pub fn read(message: Request, rules: &Rules, now: Timestamp) -> Result<Self, Problem> {
-        // An entry with other rules may have accepted and run an earlier attempt.
+        // An entry with other rules may have accepted and run an earlier send.
         let may_be_resend = message.headers.get(KEY_HEADER).is_some() && !is_first_send(&message);
         Self::read_headers(message, rules, now).map_err(|problem| {
             if may_be_resend {
@@ -101,8 +101,9 @@
         BodyDigest(hasher.finalize().into())
     }
 
-    /// Sets the outcome of a rejection without a grant. The outcome `not-run` is kept only if there
-    /// was no earlier attempt; otherwise one may have run, which the ledger did not rule out.
+    /// Prepares a rejection of a request that got no grant: turns the outcome `not-run` into
+    /// `unknown` if the request has a key, unless the caller states that this is the first send. An
+    /// earlier send may have run, and the ledger has not ruled this out.
     pub fn reject_without_grant(&self, problem: Problem) -> Problem {
         if self.key.is_some() && self.previous_attempts != Some(0) {
             problem.for_possible_resend()
@@ -111,9 +112,11 @@
         }
     }
 
-    /// Sets the outcome of a rejection after the grant was withdrawn. The outcome `not-run` is kept
-    /// only if the caller numbers its sends: the ledger then rejects a delayed Grant command of an
-    /// earlier send. Without a number it cannot distinguish that command from one of a resend.
+    /// Prepares a rejection of a request whose grant was withdrawn: turns the outcome `not-run`
+    /// into `unknown`, unless the caller states the number of earlier sends. With that number, the
+    /// ledger rejects a delayed `Grant` command of an earlier send. Without it, the ledger would
+    /// take the delayed command for that of a resend and grant it, so the earlier send could still
+    /// run.
     pub fn reject_after_withdrawal(&self, problem: Problem) -> Problem {
         if self.previous_attempts.is_none() {
             problem.for_possible_resend()
--- a/crates/auburnbridge_entry/src/rules_feed.rs
+++ b/crates/auburnbridge_entry/src/rules_feed.rs
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Polls the next keeper, whose list of entries then shows this entry's revision.
+    /// Polls the next keeper. The request carries this entry's revision, which that keeper reports
+    /// to operators, so polling the keepers in turn keeps the reports of all of them up to date.
     async fn poll_keeper(&self) {
         let keepers = self.keepers.keepers();
         if keepers.is_empty() {
--- a/crates/auburnbridge_entry/src/run.rs
+++ b/crates/auburnbridge_entry/src/run.rs
@@ -26,7 +26,7 @@
 use error_stack::{Report, ResultExt};
 use log::{info, warn};
 
-use crate::entry::{Entry, Location, Ports, RuntimeTaskSpawner};
+use crate::entry::{Dependencies, Entry, Location, RuntimeTaskSpawner};
 use crate::keeper_client::KeeperClient;
 use crate::neighbours::Neighbours;
 use crate::rules_feed::RulesFeed;
@@ -37,7 +37,7 @@
 const MAINTENANCE_INTERVAL: Millis = Millis(1_000);
 /// Interval at which evidence is sent to the other entries while a target is suspected.
 const EVIDENCE_INTERVAL: Millis = Millis(200);
-/// Maximum wait at a graceful stop for the pending commands to the ledger that end requests.
+/// Maximum wait at a graceful stop for the settlements still on their way to the ledger.
 const SETTLEMENT_TIMEOUT: Millis = Millis(5_000);
 const KEY_RELOAD_INTERVAL: Millis = Millis(30_000);
 /// Interval at which rumours and this entry's own announcement are sent.
@@ -135,7 +135,7 @@
             .connections_per_target(options.connections_per_target)
             .build();
         let pool = Arc::new(pool);
-        let ports = Ports {
+        let deps = Dependencies {
             clock: Arc::clone(&clock),
             ledger: Arc::clone(&keepers) as Arc<dyn crate::LedgerClient>,
             targets: Arc::clone(&pool) as Arc<dyn crate::TargetClient>,
@@ -149,7 +149,7 @@
             data_centre: options.data_centre.clone(),
         };
         let answer_limits = Limits::default().with_budget(budget.clone());
-        let entry = Arc::new(Entry::new(location, answer_limits, ports));
+        let entry = Arc::new(Entry::new(location, answer_limits, deps));
         let server: Arc<dyn Handler> = Arc::new(EntryServer::new(
             Arc::clone(&entry),
             Arc::clone(&neighbours),
--- a/crates/auburnbridge_entry/src/target_client.rs
+++ b/crates/auburnbridge_entry/src/target_client.rs
@@ -11,8 +11,10 @@
 pub trait TargetClient: Send + Sync {
     /// Sends `req` to `address`; dropping the future cancels the exchange.
     ///
-    /// A request of the class `Once` uses only recently used connections: if a target closes an
-    /// idle connection while the request is sent, the outcome is unknown.
+    /// A request of the class `Once` reuses a pooled connection only if it has been idle for less
+    /// than a limit (1 s by default), and otherwise opens a new one. A target may close a
+    /// connection that has been idle for longer while the request is sent, and the outcome would be
+    /// unknown.
     fn exchange<'a>(
         &'a self,
         address: SocketAddr,
--- a/crates/auburnbridge_entry/tests/request_path/fakes.rs
+++ b/crates/auburnbridge_entry/tests/request_path/fakes.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::task::Poll;
 
-use auburnbridge_entry::{CrashReporter, Entry, LedgerClient, LedgerUnavailable, TargetClient};
+use auburnbridge_entry::{CrashReporter, Entry, KeepersUnavailable, LedgerClient, TargetClient};
 use auburnbridge_http::{FramingError, Limits, Request, Response};
 use auburnbridge_ledger::{Command, Ledger, Reply};
 use auburnbridge_policy::{CrashReport, RequestClass};
@@ -76,7 +76,7 @@
     command: Command,
     /// Reply to the first application of the command.
     reply: Option<Reply>,
-    delivered: Option<Result<Reply, LedgerUnavailable>>,
+    delivered: Option<Result<Reply, KeepersUnavailable>>,
 }
 
 /// Clock of an entry; a backoff counts as reaching the step `ChooseTarget` again.
@@ -178,7 +178,7 @@
         self.state.lock().released[ticket] = Some(fault);
     }
 
-    async fn send_command(&self, command: Command) -> Result<Reply, LedgerUnavailable> {
+    async fn send_command(&self, command: Command) -> Result<Reply, KeepersUnavailable> {
         let index = {
             let mut state = self.state.lock();
             state.commands.push(SentCommand {
@@ -221,14 +221,14 @@
     }
 }
 
-fn no_reply() -> Result<Reply, LedgerUnavailable> {
-    Err(LedgerUnavailable {
+fn no_reply() -> Result<Reply, KeepersUnavailable> {
+    Err(KeepersUnavailable {
         reason: "the keepers gave no reply".to_owned(),
     })
 }
 
 impl LedgerClient for FakeCluster {
-    fn apply(&self, command: Command) -> BoxFuture<'_, Result<Reply, LedgerUnavailable>> {
+    fn apply(&self, command: Command) -> BoxFuture<'_, Result<Reply, KeepersUnavailable>> {
         Box::pin(async move {
             if self.state.lock().is_scheduled {
                 return self.send_command(command).await;
--- a/crates/auburnbridge_entry/tests/request_path/scenario.rs
+++ b/crates/auburnbridge_entry/tests/request_path/scenario.rs
@@ -8,8 +8,8 @@
 
 use auburnbridge_caller::{Disconnect, DisconnectSignal, OUTCOME_HEADER, Service};
 use auburnbridge_entry::{
-    DEADLINE_HEADER, Entry, KEY_HEADER, Location, PREVIOUS_ATTEMPTS_HEADER, Ports, RulesInForce,
-    TaskSpawner,
+    DEADLINE_HEADER, Dependencies, Entry, KEY_HEADER, Location, PREVIOUS_ATTEMPTS_HEADER,
+    RulesInForce, TaskSpawner,
 };
 use auburnbridge_http::{Limits, Request, Response};
 use auburnbridge_metrics::Metrics;
@@ -152,7 +152,7 @@
         state.entries_started += 1;
         state.seed + state.entries_started
     };
-    let ports = Ports {
+    let deps = Dependencies {
         clock: Arc::new(EntryClock(Arc::clone(cluster))),
         ledger: Arc::clone(cluster) as _,
         targets: Arc::clone(cluster) as _,
@@ -165,7 +165,7 @@
         vm: "entry".parse().unwrap(),
         data_centre: "north".parse().unwrap(),
     };
-    let entry = Entry::new(location, Limits::default(), ports);
+    let entry = Entry::new(location, Limits::default(), deps);
     let now = cluster.clock.now();
     let in_force = RulesInForce {
         revision: Revision(1),
