--- a/crates/auburnbridge_keeper/src/catalogue.rs
+++ b/crates/auburnbridge_keeper/src/catalogue.rs
@@ -1,5 +1,7 @@
 //! A keeper's view of targets, gateways and the published document, which gateways watch.
 //!
+//! Gateways are the proxy processes of a deployment whose platform publishes documents.
+//!
 //! A target announces itself to any keeper, which forwards the announcement to the other keepers.
 //! Readiness is kept in memory only, because a target announces itself again within seconds.
 //! Departures go through the replicated log first: the acknowledgement promises that no gateway
@@ -43,8 +45,9 @@
     /// The most recent changes, oldest first.
     recent_changes: VecDeque<Announcement>,
     document: Option<VersionedDocument>,
-    /// Latest time at which the applied state was known to be complete.
-    confirmed_at: Option<Timestamp>,
+    /// Latest time at which this keeper, having applied all records that it knew to be committed,
+    /// led the group or heard from its leader.
+    current_as_of: Option<Timestamp>,
     keepers: Vec<VmId>,
     /// Gateways with the time at which each was last seen.
     gateways: HashMap<VmId, (GatewayLocation, Timestamp)>,
@@ -78,7 +81,7 @@
                 changes: 0,
                 recent_changes: VecDeque::new(),
                 document: None,
-                confirmed_at: None,
+                current_as_of: None,
                 keepers: Vec::new(),
                 gateways: HashMap::new(),
                 unsent_targets: Vec::new(),
@@ -142,17 +145,17 @@
     }
 
     /// Merges announcements and gateways received from another keeper.
-    pub fn merge(&self, heard: KeeperGossip) {
+    pub fn merge(&self, gossip: KeeperGossip) {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let before = state.changes;
-        for announcement in heard.targets {
+        for announcement in gossip.targets {
             // Departures take effect only through the log.
             if announcement.state == AnnouncedState::Ready {
                 state.apply_announcement(now, announcement);
             }
         }
-        for gateway in heard.gateways {
+        for gateway in gossip.gateways {
             state.gateways.insert(gateway.vm.clone(), (gateway, now));
         }
         let is_changed = state.changes != before;
@@ -178,12 +181,12 @@
         })
     }
 
-    /// Returns every announcement, including departures.
+    /// Returns every known announcement, including departures and the last ones of expired targets.
     pub fn targets(&self) -> Vec<Announcement> {
         self.state.lock().members.iter().cloned().collect()
     }
 
-    /// Loads a view that was committed before the process started.
+    /// Loads a view that was saved before the process started.
     pub fn load_view(&self, view: CachedView) {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -193,7 +196,7 @@
         state.document = view.document;
     }
 
-    /// Returns the committed view if it has changed since the last call.
+    /// Returns the view to save if it has changed since the last call.
     pub fn take_changed_view(&self) -> Option<CachedView> {
         let mut state = self.state.lock();
         let current = (state.changes, state.version());
@@ -217,7 +220,7 @@
         self.state.lock().keepers = keepers;
     }
 
-    /// Removes expired gateways and departures.
+    /// Removes expired gateways, and expires targets and tombstones.
     pub fn expire(&self) {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -319,7 +322,7 @@
             document,
             position: self.position(),
             targets: self.targets_since(watch.position),
-            confirmed_before: self.confirmed_at.map(|time| now.since(time)),
+            confirmed_before: self.current_as_of.map(|time| now.since(time)),
             keepers: self.keepers.clone(),
             gateways: self
                 .gateways
@@ -369,7 +372,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    fn confirmed(&self, time: Timestamp) {
-        self.state.lock().confirmed_at = Some(time);
+    fn current_as_of(&self, time: Timestamp) {
+        self.state.lock().current_as_of = Some(time);
     }
 }
--- a/crates/auburnbridge_keeper/src/control.rs
+++ b/crates/auburnbridge_keeper/src/control.rs
@@ -1,5 +1,7 @@
-//! The control interface: publishes configurations and accepts announcements of targets, in the
-//! formats of a platform.
+//! The control interface: publishes configurations and accepts announcements of targets.
+//!
+//! A platform is the system that manages the targets and their configuration. Its [`Dialect`] gives
+//! the paths and formats of the calls that the platform and the targets make.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/auburnbridge_keeper/src/core.rs
+++ b/crates/auburnbridge_keeper/src/core.rs
@@ -48,7 +48,7 @@
     /// A linearizable read of the published document: it reflects every publication that was
     /// acknowledged before the request.
     ReadPublished {
-        /// Receives the version and the document, if one is in force.
+        /// Receives the document with its version, if one has been published.
         reply: Sender<Result<Option<VersionedDocument>, RejectReason>>,
     },
     /// A request for the changes of the rules since a revision.
@@ -59,7 +59,7 @@
         reply: Sender<Delta>,
     },
     /// A request for the applied rules.
-    RulesInForce {
+    AppliedRules {
         /// Receives the revision and the rules.
         reply: Sender<(Revision, Arc<Rules>)>,
     },
@@ -79,7 +79,7 @@
     Join {
         /// VM of the joining keeper.
         vm: VmId,
-        /// Id of its data folder.
+        /// Its replica id.
         replica: ReplicaId,
         /// Receives the result of the next membership change.
         reply: Sender<Result<(), RejectReason>>,
@@ -98,9 +98,11 @@
     /// Called when the departure of a target is committed.
     fn departed(&self, announcement: &Announcement);
 
-    /// Called when the applied state is at least as recent as that of a leader that was in contact
-    /// with a quorum at `time`.
-    fn confirmed(&self, time: Timestamp);
+    /// Called when this keeper, having applied all records that it knows to be committed, leads the
+    /// group at `time` or last heard from its leader then. A leader that has lost its quorum steps
+    /// down only within an election timeout, so the state may lack what another leader has
+    /// committed in that time.
+    fn current_as_of(&self, time: Timestamp);
 }
 
 /// Who may join the group, and how many voters it needs to accept commands.
@@ -108,7 +110,8 @@
 pub struct Admission {
     /// Whether keepers on VMs without a member may join.
     pub admits_new_vms: bool,
-    /// Minimum number of voters for the group to accept commands.
+    /// Minimum number of voters for the group to accept commands; `2 * n + 1` voters tolerate the
+    /// loss of `n`.
     pub least_voters: usize,
 }
 
@@ -264,28 +267,29 @@
             }
             outputs.extend(self.step(Input::Tick));
             self.handle_outputs(outputs)?;
-            self.notify_confirmed();
+            self.notify_current();
         }
     }
 
-    /// Tells the observer the time up to which the applied state is known to be complete.
-    fn notify_confirmed(&self) {
+    /// Tells the observer the time for [`CommitObserver::current_as_of`].
+    fn notify_current(&self) {
         let Some(observer) = &self.observer else {
             return;
         };
         let status = self.replica.status();
-        let confirmed = match status.role {
+        let current_as_of = match status.role {
             // A leader that loses its quorum steps down within an election timeout.
             "leader" if status.applied == status.commit => Some(self.clock.now()),
             "follower" if status.applied == status.commit => status.leader_contact,
             _ => None,
         };
-        if let Some(time) = confirmed {
-            observer.confirmed(time);
+        if let Some(time) = current_as_of {
+            observer.current_as_of(time);
         }
     }
 
-    /// Whether the group has enough voters for a command to survive the tolerated number of losses.
+    /// Whether the group has the minimum number of voters, with which a command survives the
+    /// tolerated number of losses.
     fn accepts_proposals(&self) -> bool {
         self.replica.members().voters().count() >= self.admission.least_voters
     }
@@ -313,7 +317,7 @@
                 let _ = reply.try_send(self.state.config.delta_since(have));
                 Vec::new()
             }
-            Event::RulesInForce { reply } => {
+            Event::AppliedRules { reply } => {
                 let config = &self.state.config;
                 let _ = reply.try_send((config.revision(), Arc::clone(config.rules())));
                 Vec::new()
@@ -421,8 +425,9 @@
                 }
             }
             Output::Reject { token, reason } => self.reject(token, reason),
-            // Reads of the rules don't go through the log but are answered from the applied state:
-            // revisions only increase, and an entry refuses a lower one.
+            // Only reads of the published document get here. Reads of the rules are answered at
+            // once from the applied state: revisions only increase, and an entry refuses a lower
+            // one.
             Output::ReadReady { token, .. } => {
                 if let Some(PendingReply::Read(reply)) = self.take_pending(Some(token)) {
                     let _ = reply.try_send(Ok(self.state.published.current().cloned()));
--- a/crates/auburnbridge_keeper/src/formation.rs
+++ b/crates/auburnbridge_keeper/src/formation.rs
@@ -2,10 +2,13 @@
 //! as a replacement.
 //!
 //! Only the first keeper in the settings founds the group, and only if every other keeper reports
-//! that it has no group. The others adopt the member list from any member whose list contains their
-//! data folder. Where the settings name only some of the keepers, the remaining ones ask those to add
-//! them. An empty data folder on the VM of a member is therefore never mistaken for the member: it is
-//! not in the list, so the keeper asks the leader to add it as a learner.
+//! that it has no group. The others adopt the member list of any keeper whose list contains their
+//! replica id as a voter. Where the settings name only some of the keepers, the others ask the
+//! named ones to add them.
+//!
+//! A keeper that starts with an empty data folder gets a new replica id, which is in no member
+//! list. It is therefore never mistaken for an earlier member on its VM, and asks the leader to add
+//! it as a learner.
 
 use std::sync::Arc;
 
@@ -28,7 +31,8 @@
     pub(crate) replica: ReplicaId,
     /// The keepers in the order of the settings; they may change while the process runs.
     pub(crate) keepers: Arc<Mutex<Vec<PeerAddress>>>,
-    /// Whether this keeper may found a group, which happens only at the first start of a fleet.
+    /// Whether this keeper may found a group, which happens only at the first start of an
+    /// installation.
     pub(crate) may_found: bool,
     pub(crate) directory: PeerDirectory,
     pub(crate) transport: Arc<dyn Transport>,
@@ -82,7 +86,8 @@
         Step::Retry
     }
 
-    /// Asks every other keeper for its data folder and group; `None` for one that doesn't reply.
+    /// Asks every other keeper for its replica id and member list; `None` for one that doesn't
+    /// reply.
     async fn exchange_hellos(
         &self,
         keepers: &[PeerAddress],
@@ -104,7 +109,7 @@
         hellos
     }
 
-    /// Returns the member list of a group in which this data folder is already a voter. A learner
+    /// Returns the member list of a group in which this replica is already a voter. A learner
     /// receives the list with the log.
     fn find_own_group(&self, hellos: &[Option<KeeperHello>]) -> Option<Members> {
         hellos
--- a/crates/auburnbridge_keeper/src/gossip.rs
+++ b/crates/auburnbridge_keeper/src/gossip.rs
@@ -1,4 +1,5 @@
-//! Forwards announcements and gateways to the other keepers, and keeps track of the group's members.
+//! Forwards announcements and gateways to all other keepers, and keeps track of the group's
+//! members.
 
 use std::sync::Arc;
 
@@ -14,14 +15,16 @@
 
 /// Interval at which announcements are sent to the other keepers. A new target gets its first
 /// requests after this interval and one round trip.
-const GOSSIP_INTERVAL: Millis = Millis(100);
-/// Rounds of gossip between two updates of the member list and removals of expired entries.
+const FORWARD_INTERVAL: Millis = Millis(100);
+/// Rounds between two updates of the member list, which also expire targets and gateways and save
+/// the view.
 const HOUSEKEEPING_ROUNDS: u32 = 5;
 /// Longest wait for another keeper's list of targets after the start.
 const FETCH_TIMEOUT: Millis = Millis(500);
 
-/// Task that exchanges announcements with the other keepers.
-pub(crate) struct Gossip {
+/// Task that forwards new announcements and gateways to all other keepers, updates the list of
+/// these keepers, expires targets and gateways, and saves the view.
+pub(crate) struct AnnouncementForwarder {
     pub(crate) own_vm: VmId,
     pub(crate) catalogue: Arc<Catalogue>,
     pub(crate) cache: ViewCache,
@@ -31,7 +34,7 @@
     pub(crate) clock: Arc<dyn Clock>,
 }
 
-impl Gossip {
+impl AnnouncementForwarder {
     pub(crate) async fn run(self) {
         let mut others = Vec::new();
         let mut has_fetched_targets = false;
@@ -48,10 +51,10 @@
                 }
             }
             round += 1;
-            if let Some(heard) = self.catalogue.take_unsent() {
-                self.send_to(&others, heard);
+            if let Some(gossip) = self.catalogue.take_unsent() {
+                self.send_to(&others, gossip);
             }
-            self.clock.sleep(GOSSIP_INTERVAL).await;
+            self.clock.sleep(FORWARD_INTERVAL).await;
         }
     }
 
@@ -66,11 +69,11 @@
         if joined.is_empty() {
             return;
         }
-        let heard = messages::KeeperGossip {
+        let gossip = messages::KeeperGossip {
             targets: self.catalogue.targets(),
             gateways: Vec::new(),
         };
-        self.send_to(&joined, heard);
+        self.send_to(&joined, gossip);
     }
 
     fn save_view(&self) {
@@ -117,8 +120,8 @@
         false
     }
 
-    fn send_to(&self, others: &[PeerAddress], heard: messages::KeeperGossip) {
-        match Request::KeeperGossip(heard).encode() {
+    fn send_to(&self, others: &[PeerAddress], gossip: messages::KeeperGossip) {
+        match Request::KeeperGossip(gossip).encode() {
             Ok(body) => {
                 for keeper in others {
                     self.transport.send(keeper, body.clone());
--- a/crates/auburnbridge_keeper/src/group_client.rs
+++ b/crates/auburnbridge_keeper/src/group_client.rs
@@ -38,8 +38,8 @@
 }
 
 impl GroupClient {
-    /// Publishes a document. Repeating the call is harmless, since versions decide which document
-    /// is in force.
+    /// Publishes a document. Repeating the call is harmless, since only a higher version
+    /// replaces the document.
     pub async fn publish(
         &self,
         publish: VersionedDocument,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reads the document in force. The result reflects every publication that was acknowledged
+    /// Reads the published document. The result reflects every publication that was acknowledged
     /// before the call.
     pub async fn read(&self, timeout: Millis) -> Result<Option<VersionedDocument>, Unavailable> {
         let reading = async {
--- a/crates/auburnbridge_keeper/src/operator_store.rs
+++ b/crates/auburnbridge_keeper/src/operator_store.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    async fn fleet_status(&self) -> Result<FleetStatus, StoreError> {
+    async fn entry_status(&self) -> Result<FleetStatus, StoreError> {
         let status = self
             .core
             .ask(|reply| Event::Status { reply })
@@ -103,7 +103,7 @@
     fn rules(&self) -> BoxFuture<'_, Result<RulesInForce, StoreError>> {
         Box::pin(async {
             self.core
-                .ask(|reply| Event::RulesInForce { reply })
+                .ask(|reply| Event::AppliedRules { reply })
                 .await
                 .map(|(revision, rules)| RulesInForce { revision, rules })
                 .ok_or(StoreError::Unavailable)
@@ -120,10 +120,11 @@
     }
 
     fn status(&self) -> BoxFuture<'_, Result<FleetStatus, StoreError>> {
-        Box::pin(self.fleet_status())
+        Box::pin(self.entry_status())
     }
 
-    /// Always unavailable: targets announce themselves to entries, so a keeper does not list them.
+    /// Always unavailable: where operators edit the rules, targets announce themselves to entries,
+    /// so a keeper does not list them.
     fn targets(&self) -> BoxFuture<'_, Result<Vec<TargetStatus>, StoreError>> {
         Box::pin(async { Err(StoreError::Unavailable) })
     }
--- a/crates/auburnbridge_keeper/src/run.rs
+++ b/crates/auburnbridge_keeper/src/run.rs
@@ -32,7 +32,7 @@
 };
 use crate::directory::PeerDirectory;
 use crate::formation::Formation;
-use crate::gossip::Gossip;
+use crate::gossip::AnnouncementForwarder;
 use crate::group_client::GroupClient;
 use crate::operator_store::OperatorStore;
 use crate::peers::{PeerSecurity, PeerSetup, RunningServer};
@@ -59,7 +59,7 @@
     pub dialect: Arc<dyn Dialect>,
     /// Largest body of a call.
     pub body_limit: ByteSize,
-    /// Address on which the metrics of the calls are served, if they are.
+    /// Address on which the metrics of the calls are served over HTTP, if they are.
     pub metrics_address: Option<SocketAddr>,
 }
 
@@ -354,7 +354,7 @@
         cache: ViewCache,
         keys: Option<Arc<KeyRing>>,
     ) {
-        let gossip = Gossip {
+        let forwarder = AnnouncementForwarder {
             own_vm: options.vm.clone(),
             catalogue: self.catalogue,
             cache,
@@ -363,7 +363,7 @@
             transport: Arc::clone(&self.transport),
             clock: Arc::clone(&self.clock),
         };
-        task::spawn(gossip.run());
+        task::spawn(forwarder.run());
         let clock = Arc::clone(&self.clock);
         if let Some(keys) = keys {
             task::spawn(async move {
--- a/crates/auburnbridge_keeper/src/server.rs
+++ b/crates/auburnbridge_keeper/src/server.rs
@@ -61,11 +61,12 @@
                 self.propose(StateCommand::Depart(target)).await
             }
             (Request::ReadPublished, Role::Keeper) => self.read_published().await,
+            // Gateways connect under the role `entry`.
             (Request::Watch(watch), Role::Entry) => {
                 Reply::Watched(self.catalogue.watch(&from.vm, watch).await)
             }
-            (Request::KeeperGossip(heard), Role::Keeper) => {
-                self.catalogue.merge(heard);
+            (Request::KeeperGossip(gossip), Role::Keeper) => {
+                self.catalogue.merge(gossip);
                 Reply::Done
             }
             (Request::FetchTargets, Role::Keeper) => Reply::Targets(self.catalogue.targets()),
--- a/crates/auburnbridge_keeper/src/view_cache.rs
+++ b/crates/auburnbridge_keeper/src/view_cache.rs
@@ -1,9 +1,10 @@
-//! On-disk copy of the committed view, used between the start of a keeper and the first election of
-//! its group.
+//! On-disk copy of a keeper's view of the document and the targets, used between the start of the
+//! keeper and the first election of its group.
 //!
 //! After a complete power loss the gateways have no configuration, and an election takes about a
-//! second. The file holds only what was committed when it was written, so gateways may start with
-//! it. Operators never get it as the current state, and the group's own state replaces it.
+//! second. The file holds the document and the departures that were committed, and the targets that
+//! were known, when it was written, so gateways may start with it. Operators never get it as the
+//! current state, and the group's own state replaces it.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -21,7 +22,7 @@
 /// Size of the CRC-32 in front of the encoded view.
 const CHECKSUM_BYTES: usize = 4;
 
-/// The committed view of one keeper.
+/// One keeper's view of the committed document, the targets and their committed departures.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CachedView {
     /// The published document.
--- a/crates/auburnbridge_keeper/tests/catalogue.rs
+++ b/crates/auburnbridge_keeper/tests/catalogue.rs
@@ -202,7 +202,7 @@
     let clock = PausedClock::new(START);
     let catalogue = catalogue(&clock);
     assert_eq!(watch(&catalogue, None).confirmed_before, None);
-    catalogue.confirmed(START);
+    catalogue.current_as_of(START);
     clock.advance(Millis(700));
     assert_eq!(watch(&catalogue, None).confirmed_before, Some(Millis(700)));
 }
