--- a/crates/auburnbridge_spec/src/ledger.rs
+++ b/crates/auburnbridge_spec/src/ledger.rs
@@ -1,83 +1,84 @@
-//! Specification of the grant protocol between a caller, entries, keepers and targets.
+//! Model of the grant protocol between a caller, entries, keepers and targets.
 //!
-//! One caller sends one keyed request, and sends it again through the other entry at any time
-//! until it has the target's answer. Two entries make one attempt per send, three keepers with a
-//! quorum of two replicate the ledger, and two targets run or shed what reaches them.
+//! One caller sends one keyed request and may resend it through the other entry at any time until
+//! it receives the target's answer. Two entries make one attempt per send, three keepers with a
+//! quorum of two replicate the ledger, and two targets run or shed the requests they receive.
 //!
-//! The network between entries and keepers is the set of all messages ever sent. The leader takes
-//! any of them at any time, any number of times, or never, which covers loss, duplication and
-//! reordering. A process may take no step while all others go on, which covers a frozen entry; the
-//! check of the deadline and the first written byte are separate steps, so that an entry can freeze
-//! between them. Each attempt's deadline passes at any time.
+//! The network between entries and keepers is the set of all messages ever sent. The leader may
+//! process each of them at any time, any number of times, or never, which covers loss, duplication
+//! and reordering. A process may take no step while the others proceed, which covers a frozen
+//! entry; the deadline check and the write of the first byte are separate steps, so that an entry
+//! can freeze between them. Each attempt's deadline may pass at any time.
 //!
-//! The replication is reduced to what the grants depend on: one command is in progress at a time,
-//! an election is one step, and a deposed leader, which would find no quorum, takes no steps.
+//! Replication is reduced to what grants depend on: one command is in progress at a time, an
+//! election is a single step, and a deposed leader takes no steps because it would find no quorum.
 //!
-//! The search visits every reachable state within [`Bounds`] and checks [`Violation`] in each. The
-//! rules can be broken one at a time by a [`Fault`], which the same search must find.
+//! The search visits every reachable state within [`Bounds`] and checks each for a [`Violation`].
+//! To validate the search itself, a [`Fault`] breaks one rule, and the search must detect it.
 
 mod attempt;
 mod keepers;
 
 use pathfinding::directed::bfs::bfs_reach;
 
-use attempt::{Attempt, Phase, Word};
+use attempt::{Attempt, Outcome, Phase};
 use keepers::{Command, CommandKind, Group};
 
-/// Number of attempts that the state has room for.
+/// Capacity of the attempt array in a state.
 const MAX_SENDS: usize = 3;
 
-/// Limits of the search.
+/// Limits on the number of events that the search explores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// How often the caller sends the request, at most 3.
+    /// Maximum number of times that the caller sends the request, up to 3.
     pub sends: usize,
-    /// Crashes of an entry, each with a restart that knows nothing of its attempts.
+    /// Entry crashes, each followed by a restart that has lost all attempts.
     pub entry_crashes: u8,
-    /// Crashes of a keeper, each with a restart from what it had synced.
+    /// Keeper crashes, each followed by a restart from the synced state.
     pub keeper_crashes: u8,
-    /// Losses of a keeper's disk, each repaired with an empty one.
+    /// Losses of a keeper's disk, each repaired with an empty disk.
     pub disk_losses: u8,
-    /// Elections of a leader after the first one.
+    /// Leader elections after the initial one.
     pub elections: u8,
-    /// Attempts whose deadline passes.
+    /// Attempts whose deadline may pass.
     pub expiries: u8,
 }
 
-/// A rule that is broken on purpose.
+/// A protocol rule that is deliberately broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A keeper confirms a command before it has synced it.
+    /// A keeper acknowledges a command before syncing it.
     GrantBeforeSync,
-    /// A keeper whose disk was lost counts towards the quorum at once.
-    AmnesiacVoter,
-    /// A withdrawal frees the key also when another attempt holds it.
-    ForeignWithdraw,
-    /// A connection that dies after the write is taken for a request that did not run.
-    DeadConnectionNotRun,
-    /// An entry that did not ask the ledger tells a resend that it did not run.
-    RefusedResendNotRun,
-    /// A key whose holder missed its deadline is granted again.
-    FreedAfterDeadline,
-    /// An attempt of an earlier send gets the key that a later send's attempt withdrew.
+    /// A keeper whose disk was lost counts towards the quorum immediately.
+    EmptyDiskVotes,
+    /// A withdrawal frees the key even when another attempt holds it.
+    WithdrawByNonHolder,
+    /// A connection lost after the write is treated as proof that the request did not run.
+    LostConnectionNotRun,
+    /// An entry reports `not-run` for a resend without having asked the ledger.
+    UnaskedResendNotRun,
+    /// A key is granted again after its holder missed the deadline.
+    RegrantAfterDeadline,
+    /// An attempt of an earlier send is granted the key after a later send's attempt withdrew.
     EarlierSendGranted,
 }
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Targets ran the request more than once.
+    /// The request ran more than once, on one or several targets.
     RanTwice,
-    /// The last word to the caller was `not-run`, no attempt is live, and a target ran the request.
+    /// The caller was last told `not-run`, no attempt is live, and a target ran the request.
     ///
-    /// The check covers every state, so it also fails when the run follows the word.
+    /// Every state is checked, so a target that runs the request after the `not-run` reply is
+    /// detected too.
     RanDespiteNotRun,
 }
 
-/// The protocol, within bounds and with at most one fault.
+/// The protocol model, with its bounds and at most one fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Specification {
-    /// Limits of the search.
+    /// Limits on the explored events.
     pub bounds: Bounds,
     /// The broken rule, if any.
     pub fault: Option<Fault>,
@@ -85,20 +86,20 @@
 
 /// Result of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Exploration {
-    /// Number of states visited; all reachable ones when there is no violation.
+pub struct Report {
+    /// Number of states visited, which is all reachable states if no violation was found.
     pub states: usize,
-    /// The first violation.
+    /// The first violation found, at which the search stopped.
     pub violation: Option<Violation>,
 }
 
 /// The state of all processes and of the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct State {
     attempts: [Attempt; MAX_SENDS],
     sends: usize,
-    /// What the caller was told last, in reply to its last send.
-    last_word: Word,
+    /// Outcome reported to the caller for its most recent send.
+    last_outcome: Outcome,
     executions: u8,
     group: Group,
     entry_crashes: u8,
@@ -109,26 +110,26 @@
 }
 
 impl Specification {
-    /// Visits the reachable states until one violates an invariant.
-    pub fn explore(&self) -> Exploration {
+    /// Visits reachable states until one violates any invariant.
+    pub fn explore(&self) -> Report {
         self.explore_until(|violation| violation.is_some())
     }
 
-    /// Visits the reachable states until one violates the given invariant.
-    pub fn explore_for(&self, wanted: Violation) -> Exploration {
+    /// Visits reachable states until one violates the given invariant.
+    pub fn explore_for(&self, wanted: Violation) -> Report {
         self.explore_until(|violation| violation == Some(wanted))
     }
 
-    fn explore_until(&self, is_wanted: impl Fn(Option<Violation>) -> bool) -> Exploration {
+    fn explore_until(&self, is_wanted: impl Fn(Option<Violation>) -> bool) -> Report {
         let mut states = 0;
-        for world in bfs_reach(World::new(), |world| self.successors(world)) {
+        for state in bfs_reach(State::new(), |state| self.successors(state)) {
             states += 1;
-            let violation = world.violation();
+            let violation = state.violation();
             if is_wanted(violation) {
-                return Exploration { states, violation };
+                return Report { states, violation };
             }
         }
-        Exploration {
+        Report {
             states,
             violation: None,
         }
@@ -138,135 +139,136 @@
         self.fault == Some(fault)
     }
 
-    fn successors(&self, world: &World) -> Vec<World> {
+    fn successors(&self, state: &State) -> Vec<State> {
         let mut next = Vec::new();
-        self.caller_steps(world, &mut next);
-        for number in 0..world.sends {
-            self.entry_steps(world, number, &mut next);
-            target_steps(world, number, &mut next);
-            self.ledger_steps(world, number, &mut next);
+        self.caller_steps(state, &mut next);
+        for number in 0..state.sends {
+            self.entry_steps(state, number, &mut next);
+            target_steps(state, number, &mut next);
+            self.ledger_steps(state, number, &mut next);
         }
-        self.keeper_steps(world, &mut next);
-        self.crash_steps(world, &mut next);
+        self.keeper_steps(state, &mut next);
+        self.crash_steps(state, &mut next);
         next
     }
 
-    fn caller_steps(&self, world: &World, next: &mut Vec<World>) {
-        if world.sends < self.bounds.sends && world.last_word != Word::Answer {
-            let mut sent = *world;
-            sent.attempts[world.sends].phase = Phase::Received;
+    fn caller_steps(&self, state: &State, next: &mut Vec<State>) {
+        if state.sends < self.bounds.sends && state.last_outcome != Outcome::Answer {
+            let mut sent = *state;
+            sent.attempts[state.sends].phase = Phase::Received;
             sent.sends += 1;
-            sent.last_word = Word::Unknown;
+            sent.last_outcome = Outcome::Unknown;
             next.push(sent);
         }
     }
 
-    fn entry_steps(&self, world: &World, number: usize, next: &mut Vec<World>) {
-        let steps = world.attempts[number].entry_steps(self, number);
-        next.extend(steps.into_iter().map(|(attempt, word)| {
-            let mut stepped = *world;
+    fn entry_steps(&self, state: &State, number: usize, next: &mut Vec<State>) {
+        let steps = state.attempts[number].entry_steps(self, number);
+        next.extend(steps.into_iter().map(|(attempt, outcome)| {
+            let mut stepped = *state;
             stepped.attempts[number] = attempt;
-            if let Some(word) = word.filter(|_| number + 1 == world.sends) {
-                stepped.last_word = word;
+            if let Some(outcome) = outcome.filter(|_| number + 1 == state.sends) {
+                stepped.last_outcome = outcome;
             }
             stepped
         }));
-        let attempt = &world.attempts[number];
+        let attempt = &state.attempts[number];
         let may_expire = attempt.sent.contains(CommandKind::Grant) && !attempt.expired;
-        if may_expire && world.expiries < self.bounds.expiries {
-            let mut expired = *world;
+        if may_expire && state.expiries < self.bounds.expiries {
+            let mut expired = *state;
             expired.expiries += 1;
             expired.attempts[number].expired = true;
             next.push(expired);
         }
     }
 
-    /// The leader takes a message of the attempt.
-    fn ledger_steps(&self, world: &World, number: usize, next: &mut Vec<World>) {
-        let expired = world.attempts.map(|attempt| attempt.expired);
-        let is_reliable = world.keeper_crashes == self.bounds.keeper_crashes
-            && world.disk_losses == self.bounds.disk_losses
-            && world.elections == self.bounds.elections;
+    /// The leader processes a message from the attempt.
+    fn ledger_steps(&self, state: &State, number: usize, next: &mut Vec<State>) {
+        let expired = state.attempts.map(|attempt| attempt.expired);
+        let is_failure_free = state.keeper_crashes == self.bounds.keeper_crashes
+            && state.disk_losses == self.bounds.disk_losses
+            && state.elections == self.bounds.elections;
         for kind in CommandKind::ALL {
-            if !world.attempts[number].sent.contains(kind) {
+            if !state.attempts[number].sent.contains(kind) {
                 continue;
             }
-            let attempt = u8::try_from(number).expect("MAX_SENDS is small");
+            let attempt =
+                u8::try_from(number).expect("attempt numbers below MAX_SENDS fit into u8");
             let command = Command { kind, attempt };
-            let received = world.group.receive(self, command, expired, is_reliable);
+            let received = state.group.receive(self, command, expired, is_failure_free);
             let Some((group, reply)) = received else {
                 continue;
             };
-            let mut received = World { group, ..*world };
+            let mut received = State { group, ..*state };
             if let Some(reply) = reply {
                 received.attempts[number].replies.insert(reply);
-                received.attempts[number].forget_ineffective();
+                received.attempts[number].normalize();
             }
             next.push(received);
         }
     }
 
-    fn keeper_steps(&self, world: &World, next: &mut Vec<World>) {
-        let groups = world.group.replications(self);
-        next.extend(groups.into_iter().map(|group| World { group, ..*world }));
-        if world.elections < self.bounds.elections {
-            next.extend(world.group.elections().into_iter().map(|group| World {
+    fn keeper_steps(&self, state: &State, next: &mut Vec<State>) {
+        let groups = state.group.replication_steps(self);
+        next.extend(groups.into_iter().map(|group| State { group, ..*state }));
+        if state.elections < self.bounds.elections {
+            next.extend(state.group.election_steps().into_iter().map(|group| State {
                 group,
-                elections: world.elections + 1,
-                ..*world
+                elections: state.elections + 1,
+                ..*state
             }));
         }
     }
 
-    fn crash_steps(&self, world: &World, next: &mut Vec<World>) {
-        if world.entry_crashes < self.bounds.entry_crashes {
+    fn crash_steps(&self, state: &State, next: &mut Vec<State>) {
+        if state.entry_crashes < self.bounds.entry_crashes {
             for entry in 0..2 {
-                let mut crashed = *world;
+                let mut crashed = *state;
                 crashed.entry_crashes += 1;
-                // The sends alternate between the two entries.
+                // Sends alternate between the two entries.
                 for attempt in crashed.attempts.iter_mut().skip(entry).step_by(2) {
                     attempt.crash();
                 }
                 next.push(crashed);
             }
         }
-        if world.keeper_crashes < self.bounds.keeper_crashes {
-            next.extend(world.group.crashes().into_iter().map(|group| World {
+        if state.keeper_crashes < self.bounds.keeper_crashes {
+            next.extend(state.group.crash_steps().into_iter().map(|group| State {
                 group,
-                keeper_crashes: world.keeper_crashes + 1,
-                ..*world
+                keeper_crashes: state.keeper_crashes + 1,
+                ..*state
             }));
         }
-        if world.disk_losses < self.bounds.disk_losses {
-            let groups = world.group.disk_losses(self);
-            next.extend(groups.into_iter().map(|group| World {
+        if state.disk_losses < self.bounds.disk_losses {
+            let groups = state.group.disk_loss_steps(self);
+            next.extend(groups.into_iter().map(|group| State {
                 group,
-                disk_losses: world.disk_losses + 1,
-                ..*world
+                disk_losses: state.disk_losses + 1,
+                ..*state
             }));
         }
     }
 }
 
-/// A target runs or sheds the request, also after the entry has given up or crashed.
-fn target_steps(world: &World, number: usize, next: &mut Vec<World>) {
-    if let Some([ran, shed]) = world.attempts[number].target_steps() {
-        let mut executed = *world;
+/// A target runs or sheds the request, even after the entry has given up or crashed.
+fn target_steps(state: &State, number: usize, next: &mut Vec<State>) {
+    if let Some([ran, shed]) = state.attempts[number].target_steps() {
+        let mut executed = *state;
         executed.attempts[number] = ran;
         executed.executions += 1;
         next.push(executed);
-        let mut refused = *world;
+        let mut refused = *state;
         refused.attempts[number] = shed;
         next.push(refused);
     }
 }
 
-impl World {
+impl State {
     fn new() -> Self {
         Self {
             attempts: [Attempt::default(); MAX_SENDS],
             sends: 0,
-            last_word: Word::Unknown,
+            last_outcome: Outcome::Unknown,
             executions: 0,
             group: Group::new(),
             entry_crashes: 0,
@@ -281,8 +283,8 @@
         if self.executions > 1 {
             return Some(Violation::RanTwice);
         }
-        let is_quiet = !self.attempts.iter().any(|attempt| attempt.is_live());
-        if is_quiet && self.last_word == Word::NotRun && self.executions > 0 {
+        let is_settled = !self.attempts.iter().any(|attempt| attempt.is_live());
+        if is_settled && self.last_outcome == Outcome::NotRun && self.executions > 0 {
             return Some(Violation::RanDespiteNotRun);
         }
         None
--- a/crates/auburnbridge_spec/src/ledger/attempt.rs
+++ b/crates/auburnbridge_spec/src/ledger/attempt.rs
@@ -1,51 +1,51 @@
-//! One attempt of an entry, and its exchange with a target.
+//! Model of one attempt by an entry and its exchange with a target.
 
 use super::keepers::{CommandKind, CommandSet};
 use super::{Fault, Specification};
 
-/// What the caller is told.
+/// Outcome of a send as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Word {
+pub(super) enum Outcome {
     Answer,
     NotRun,
-    /// Also stands for no word at all, which leaves the caller in the same state.
+    /// Also represents a missing reply, which leaves the caller equally uninformed.
     Unknown,
 }
 
-/// How far an attempt is.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
-    /// The caller has not sent the request.
+    /// The caller has not sent the request yet.
     #[default]
     Idle,
-    /// The entry has the request.
+    /// The entry has received the request.
     Received,
-    /// The entry asks for a grant.
-    Asking,
+    /// The entry waits for a grant from the ledger.
+    AwaitingGrant,
     /// The attempt holds the grant.
     Held,
-    /// The entry found the deadline to lie ahead.
-    Checked,
-    /// The entry wrote the request to a target.
+    /// The entry has checked that the deadline has not passed.
+    DeadlineChecked,
+    /// The entry has written the request to a target.
     Written,
-    /// The entry gave the caller a word.
+    /// The entry has replied to the caller.
     Finished,
-    /// The entry crashed.
-    Dead,
+    /// The entry has crashed.
+    Crashed,
 }
 
-/// Reply of the ledger to a grant.
+/// Reply of the ledger to a grant request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum GrantReply {
     Granted,
     Answered,
-    /// In progress or unknown.
+    /// The request is in progress, or its outcome is unknown.
     Blocked,
-    /// The attempt withdrew, is fenced off by a later one, or missed its deadline.
+    /// The attempt withdrew, is fenced off by a later attempt, or missed its deadline.
     NotHolder,
 }
 
-/// Replies that are on their way.
+/// Set of grant replies in transit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct GrantReplies(u8);
 
@@ -68,54 +68,58 @@
     }
 }
 
-/// The request at a target.
+/// State of the request at a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 enum Exchange {
     #[default]
     None,
-    /// On its way to a target; the targets are interchangeable, so which one makes no difference.
+    /// In transit to a target; targets are interchangeable, so the model does not record which.
     InFlight,
     Ran,
     Shed,
 }
 
-/// One attempt, with the messages that it sent and those that are on their way to it.
+/// One attempt, with the messages that it sent and those in transit to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Attempt {
     pub(super) phase: Phase,
     pub(super) sent: CommandSet,
     pub(super) replies: GrantReplies,
-    /// Whether the deadline has passed, in log time.
+    /// Whether the deadline has passed in log time.
     pub(super) expired: bool,
     exchange: Exchange,
 }
 
-type Step = (Attempt, Option<Word>);
+type Step = (Attempt, Option<Outcome>);
 
 impl Attempt {
     /// Whether the attempt may still write the request or learn its outcome.
     pub(super) fn is_live(self) -> bool {
         match self.phase {
-            Phase::Received | Phase::Asking | Phase::Held | Phase::Checked | Phase::Written => true,
-            Phase::Idle | Phase::Finished | Phase::Dead => false,
+            Phase::Received
+            | Phase::AwaitingGrant
+            | Phase::Held
+            | Phase::DeadlineChecked
+            | Phase::Written => true,
+            Phase::Idle | Phase::Finished | Phase::Crashed => false,
         }
     }
 
     pub(super) fn crash(&mut self) {
         if self.is_live() {
-            self.enter(Phase::Dead);
+            self.set_phase(Phase::Crashed);
         }
     }
 
-    fn enter(&mut self, phase: Phase) {
+    fn set_phase(&mut self, phase: Phase) {
         self.phase = phase;
-        self.forget_ineffective();
+        self.normalize();
     }
 
-    /// Drops what can have no effect any more, which merges equivalent states: replies outside of
-    /// `Asking`, and the outcome at the target once the entry does not wait for it.
-    pub(super) fn forget_ineffective(&mut self) {
-        if self.phase != Phase::Asking {
+    /// Merges equivalent states by discarding what can no longer have an effect: replies outside of
+    /// `AwaitingGrant`, and the target's outcome once the entry no longer waits for it.
+    pub(super) fn normalize(&mut self) {
+        if self.phase != Phase::AwaitingGrant {
             self.replies = GrantReplies::default();
         }
         if !self.is_live() && self.exchange != Exchange::InFlight {
@@ -123,108 +127,109 @@
         }
     }
 
-    fn at(self, phase: Phase) -> Self {
-        let mut moved = self;
-        moved.enter(phase);
-        moved
+    fn with_phase(self, phase: Phase) -> Self {
+        let mut attempt = self;
+        attempt.set_phase(phase);
+        attempt
     }
 
-    fn finish(self, command: Option<CommandKind>, word: Word) -> Step {
-        let mut finished = self.at(Phase::Finished);
+    fn finish(self, command: Option<CommandKind>, outcome: Outcome) -> Step {
+        let mut finished = self.with_phase(Phase::Finished);
         if let Some(command) = command {
             finished.sent.insert(command);
         }
-        (finished, Some(word))
+        (finished, Some(outcome))
     }
 
-    /// The steps that the entry can take.
+    /// Returns the steps that the entry can take.
     pub(super) fn entry_steps(self, specification: &Specification, number: usize) -> Vec<Step> {
         let withdraw = Some(CommandKind::Withdraw);
         match self.phase {
-            Phase::Idle | Phase::Finished | Phase::Dead => Vec::new(),
+            Phase::Idle | Phase::Finished | Phase::Crashed => Vec::new(),
             Phase::Received => {
-                let mut asking = self.at(Phase::Asking);
-                asking.sent.insert(CommandKind::Grant);
-                let resend_word = if specification.has(Fault::RefusedResendNotRun) {
-                    Word::NotRun
+                let mut awaiting = self.with_phase(Phase::AwaitingGrant);
+                awaiting.sent.insert(CommandKind::Grant);
+                let refusal_outcome = if specification.has(Fault::UnaskedResendNotRun) {
+                    Outcome::NotRun
                 } else {
-                    word_without_grant(number)
+                    outcome_without_grant(number)
                 };
-                vec![(asking, None), self.finish(None, resend_word)]
+                vec![(awaiting, None), self.finish(None, refusal_outcome)]
             }
-            Phase::Asking => {
+            Phase::AwaitingGrant => {
                 let replies = self.replies.iter();
                 let mut steps: Vec<Step> = replies
-                    .map(|reply| self.take_reply(number, reply))
+                    .map(|reply| self.handle_reply(number, reply))
                     .collect();
-                steps.push(self.finish(withdraw, word_without_grant(number)));
+                steps.push(self.finish(withdraw, outcome_without_grant(number)));
                 steps
             }
             Phase::Held => {
-                let mut steps = vec![self.finish(withdraw, Word::NotRun)];
+                let mut steps = vec![self.finish(withdraw, Outcome::NotRun)];
                 if !self.expired {
-                    steps.push((self.at(Phase::Checked), None));
+                    steps.push((self.with_phase(Phase::DeadlineChecked), None));
                 }
                 steps
             }
-            Phase::Checked => vec![self.write()],
+            Phase::DeadlineChecked => vec![self.write()],
             Phase::Written => self.exchange_steps(specification),
         }
     }
 
-    fn take_reply(self, number: usize, reply: GrantReply) -> Step {
+    fn handle_reply(self, number: usize, reply: GrantReply) -> Step {
         match reply {
-            GrantReply::Granted => (self.at(Phase::Held), None),
-            GrantReply::Answered => self.finish(None, Word::Answer),
-            GrantReply::Blocked => self.finish(None, Word::Unknown),
-            GrantReply::NotHolder => self.finish(None, word_without_grant(number)),
+            GrantReply::Granted => (self.with_phase(Phase::Held), None),
+            GrantReply::Answered => self.finish(None, Outcome::Answer),
+            GrantReply::Blocked => self.finish(None, Outcome::Unknown),
+            GrantReply::NotHolder => self.finish(None, outcome_without_grant(number)),
         }
     }
 
     fn write(self) -> Step {
-        let mut written = self.at(Phase::Written);
+        let mut written = self.with_phase(Phase::Written);
         written.exchange = Exchange::InFlight;
         (written, None)
     }
 
     fn exchange_steps(self, specification: &Specification) -> Vec<Step> {
-        let dead_connection = if specification.has(Fault::DeadConnectionNotRun) {
-            self.finish(Some(CommandKind::Withdraw), Word::NotRun)
+        let lost_connection = if specification.has(Fault::LostConnectionNotRun) {
+            self.finish(Some(CommandKind::Withdraw), Outcome::NotRun)
         } else {
-            self.finish(Some(CommandKind::Abandon), Word::Unknown)
+            self.finish(Some(CommandKind::Abandon), Outcome::Unknown)
         };
-        let mut steps = vec![dead_connection];
+        let mut steps = vec![lost_connection];
         match self.exchange {
             Exchange::None | Exchange::InFlight => {}
             Exchange::Ran => {
-                steps.push(self.finish(Some(CommandKind::Conclude), Word::Answer));
+                steps.push(self.finish(Some(CommandKind::Conclude), Outcome::Answer));
             }
             Exchange::Shed => {
-                steps.push(self.finish(Some(CommandKind::Withdraw), Word::NotRun));
+                steps.push(self.finish(Some(CommandKind::Withdraw), Outcome::NotRun));
             }
         }
         steps
     }
 
-    /// The attempt after its target ran the request, and after it shed the request.
+    /// Returns the attempt after its target ran the request and after it shed the request.
     pub(super) fn target_steps(self) -> Option<[Self; 2]> {
         let Exchange::InFlight = self.exchange else {
             return None;
         };
         let after = |exchange| {
             let mut attempt = Self { exchange, ..self };
-            attempt.forget_ineffective();
+            attempt.normalize();
             attempt
         };
         Some([after(Exchange::Ran), after(Exchange::Shed)])
     }
 }
 
-/// The word of an attempt that never held the grant: an earlier send may have run.
-fn word_without_grant(number: usize) -> Word {
+/// Outcome for an attempt that never held the grant. For a resend it is unknown, because an earlier
+/// send may have run.
+fn outcome_without_grant(number: usize) -> Outcome {
     if number == 0 {
-        Word::NotRun
+        Outcome::NotRun
     } else {
-        Word::Unknown
+        Outcome::Unknown
     }
 }
--- a/crates/auburnbridge_spec/src/ledger/keepers.rs
+++ b/crates/auburnbridge_spec/src/ledger/keepers.rs
@@ -1,4 +1,4 @@
-//! The keepers: replication of the log and the ledger that follows from it.
+//! Model of the keepers: replication of the log, and the ledger derived from it.
 
 use super::attempt::GrantReply;
 use super::{Fault, MAX_SENDS, Specification};
@@ -9,7 +9,7 @@
 /// Each attempt changes the ledger at most twice.
 const MAX_LOG: usize = 2 * MAX_SENDS;
 
-/// What an attempt tells the ledger.
+/// Kind of a command that an attempt sends to the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum CommandKind {
     Grant,
@@ -22,14 +22,14 @@
     pub(super) const ALL: [Self; 4] = [Self::Grant, Self::Withdraw, Self::Conclude, Self::Abandon];
 }
 
-/// A message of an attempt to the ledger.
+/// A command sent to the ledger by an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Command {
     pub(super) kind: CommandKind,
     pub(super) attempt: u8,
 }
 
-/// The commands that one attempt has sent.
+/// Set of the commands that one attempt has sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct CommandSet(u8);
 
@@ -43,9 +43,9 @@
     }
 }
 
-/// Who holds the key, or how it ended.
+/// State of the key in the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Holder {
+enum KeyState {
     Free,
     Held(u8),
     Answered,
@@ -54,13 +54,13 @@
 
 /// The ledger's record of the key.
 struct Record {
-    holder: Holder,
-    /// The last attempt that withdrew; sends are numbered in the order of the caller.
+    state: KeyState,
+    /// The highest attempt number that withdrew; attempts are numbered in the caller's send order.
     highest_withdrawn: Option<u8>,
     withdrawn: [bool; MAX_SENDS],
 }
 
-/// What a command does to the record.
+/// Effect of a command on the record.
 enum Effect {
     Change,
     Reply(GrantReply),
@@ -70,20 +70,20 @@
 impl Record {
     fn replay(log: Log) -> Self {
         let mut record = Self {
-            holder: Holder::Free,
+            state: KeyState::Free,
             highest_withdrawn: None,
             withdrawn: [false; MAX_SENDS],
         };
         for command in log.commands() {
             let attempt = command.attempt;
-            record.holder = match command.kind {
-                CommandKind::Grant => Holder::Held(attempt),
-                CommandKind::Conclude => Holder::Answered,
-                CommandKind::Abandon => Holder::Abandoned,
+            record.state = match command.kind {
+                CommandKind::Grant => KeyState::Held(attempt),
+                CommandKind::Conclude => KeyState::Answered,
+                CommandKind::Abandon => KeyState::Abandoned,
                 CommandKind::Withdraw => {
                     record.withdrawn[usize::from(attempt)] = true;
                     record.highest_withdrawn = record.highest_withdrawn.max(Some(attempt));
-                    Holder::Free
+                    KeyState::Free
                 }
             };
         }
@@ -101,7 +101,7 @@
             CommandKind::Grant => self.grant(specification, attempt, expired),
             CommandKind::Withdraw => self.withdraw(specification, attempt, expired),
             CommandKind::Conclude | CommandKind::Abandon => {
-                if self.holder == Holder::Held(attempt) {
+                if self.state == KeyState::Held(attempt) {
                     Effect::Change
                 } else {
                     Effect::None
@@ -116,11 +116,13 @@
         attempt: u8,
         expired: [bool; MAX_SENDS],
     ) -> Effect {
-        let at = usize::from(attempt);
-        let is_accepted = match self.holder {
-            Holder::Held(holder) if holder == attempt => !expired[at],
-            Holder::Held(_) => specification.has(Fault::ForeignWithdraw) && !self.withdrawn[at],
-            Holder::Free | Holder::Answered | Holder::Abandoned => false,
+        let index = usize::from(attempt);
+        let is_accepted = match self.state {
+            KeyState::Held(holder) if holder == attempt => !expired[index],
+            KeyState::Held(_) => {
+                specification.has(Fault::WithdrawByNonHolder) && !self.withdrawn[index]
+            }
+            KeyState::Free | KeyState::Answered | KeyState::Abandoned => false,
         };
         if is_accepted {
             Effect::Change
@@ -135,11 +137,11 @@
         attempt: u8,
         expired: [bool; MAX_SENDS],
     ) -> Effect {
-        let is_refused = self.refuses(specification, attempt) || expired[usize::from(attempt)];
-        match self.holder {
-            Holder::Answered => Effect::Reply(GrantReply::Answered),
-            Holder::Held(holder) if expired[usize::from(holder)] => {
-                let is_free = specification.has(Fault::FreedAfterDeadline)
+        let is_refused = self.is_fenced(specification, attempt) || expired[usize::from(attempt)];
+        match self.state {
+            KeyState::Answered => Effect::Reply(GrantReply::Answered),
+            KeyState::Held(holder) if expired[usize::from(holder)] => {
+                let is_free = specification.has(Fault::RegrantAfterDeadline)
                     && holder != attempt
                     && !is_refused;
                 if is_free {
@@ -148,15 +150,15 @@
                     Effect::Reply(GrantReply::Blocked)
                 }
             }
-            Holder::Held(holder) if holder == attempt => Effect::Reply(GrantReply::Granted),
-            Holder::Held(_) | Holder::Abandoned => Effect::Reply(GrantReply::Blocked),
-            Holder::Free if is_refused => Effect::Reply(GrantReply::NotHolder),
-            Holder::Free => Effect::Change,
+            KeyState::Held(holder) if holder == attempt => Effect::Reply(GrantReply::Granted),
+            KeyState::Held(_) | KeyState::Abandoned => Effect::Reply(GrantReply::Blocked),
+            KeyState::Free if is_refused => Effect::Reply(GrantReply::NotHolder),
+            KeyState::Free => Effect::Change,
         }
     }
 
-    /// Whether the attempt, or one of a later send, withdrew.
-    fn refuses(&self, specification: &Specification, attempt: u8) -> bool {
+    /// Whether this attempt or an attempt of a later send withdrew.
+    fn is_fenced(&self, specification: &Specification, attempt: u8) -> bool {
         if specification.has(Fault::EarlierSendGranted) {
             return self.withdrawn[usize::from(attempt)];
         }
@@ -164,9 +166,9 @@
     }
 }
 
-/// The commands that changed the ledger, with four bits for each, the first in the lowest ones.
+/// Commands that changed the ledger, packed into four bits each, the first in the lowest bits.
 ///
-/// The compact form makes states cheap to hash, which is most of the work of the search.
+/// The packed form makes states cheap to hash; hashing takes most of the time of the search.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Log(u32);
 
@@ -188,8 +190,8 @@
     }
 
     fn commands(self) -> impl Iterator<Item = Command> {
-        (0..self.len()).map(move |at| {
-            let code = ((self.0 >> (Self::BITS * at)) & 0xf) - 1;
+        (0..self.len()).map(move |index| {
+            let code = ((self.0 >> (Self::BITS * index)) & 0xf) - 1;
             let [.., attempt] = (code >> 2).to_be_bytes();
             Command {
                 kind: CommandKind::ALL[(code & 0b11) as usize],
@@ -199,23 +201,23 @@
     }
 }
 
-/// A log and the view in which its keeper accepted it.
+/// A log and the term in which its keeper accepted it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Accepted {
-    view: u8,
+    term: u8,
     log: Log,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Keeper {
     is_leader: bool,
-    /// Whether it counts towards a quorum.
-    is_counted: bool,
+    /// Whether the keeper counts towards a quorum.
+    is_voter: bool,
     volatile: Accepted,
     durable: Accepted,
 }
 
-/// The keepers, sorted since their order makes no difference.
+/// The keeper group, kept sorted so that states which differ only in keeper order are merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Group {
     keepers: [Keeper; KEEPERS],
@@ -225,7 +227,7 @@
     pub(super) fn new() -> Self {
         let follower = Keeper {
             is_leader: false,
-            is_counted: true,
+            is_voter: true,
             volatile: Accepted::default(),
             durable: Accepted::default(),
         };
@@ -239,15 +241,15 @@
         self
     }
 
-    fn with(&self, at: usize, keeper: Keeper) -> Self {
+    fn with(&self, index: usize, keeper: Keeper) -> Self {
         let mut keepers = self.keepers;
-        keepers[at] = keeper;
+        keepers[index] = keeper;
         Self { keepers }.sorted()
     }
 
-    fn all_with(&self, accepted: Accepted) -> Self {
+    fn with_all(&self, accepted: Accepted) -> Self {
         let keepers = self.keepers.map(|keeper| Keeper {
-            is_counted: true,
+            is_voter: true,
             volatile: accepted,
             durable: accepted,
             ..keeper
@@ -259,31 +261,31 @@
         self.keepers.iter().position(|keeper| keeper.is_leader)
     }
 
-    /// Whether a quorum has synced the leader's log, in the leader's view.
+    /// Whether a quorum has synced the leader's log in the leader's term.
     fn is_committed(&self, specification: &Specification, leader: usize) -> bool {
         let accepted = self.keepers[leader].volatile;
-        let has_it = |keeper: &&Keeper| {
+        let has_synced_log = |keeper: &&Keeper| {
             let confirmed = if specification.has(Fault::GrantBeforeSync) {
                 keeper.volatile
             } else {
                 keeper.durable
             };
-            keeper.is_counted && confirmed == accepted
+            keeper.is_voter && confirmed == accepted
         };
-        self.keepers.iter().filter(has_it).count() >= QUORUM
+        self.keepers.iter().filter(has_synced_log).count() >= QUORUM
     }
 
-    /// The leader takes a message: it appends a command that changes the ledger, and replies once
-    /// that is committed, to this or to a repeated message.
+    /// The leader processes a message. It appends a command that changes the ledger, and replies to
+    /// this or a repeated message once the command is committed.
     ///
-    /// When no keeper can fail any more, the command commits at once, since nothing can tell the
-    /// steps of its replication apart.
+    /// When no further keeper failure is possible, the command commits immediately, because the
+    /// intermediate replication steps are not observable.
     pub(super) fn receive(
         &self,
         specification: &Specification,
         command: Command,
         expired: [bool; MAX_SENDS],
-        is_reliable: bool,
+        is_failure_free: bool,
     ) -> Option<(Self, Option<GrantReply>)> {
         let leader = self.leader()?;
         if !self.is_committed(specification, leader) {
@@ -294,8 +296,8 @@
         match record.effect(specification, command, expired) {
             Effect::Change => {
                 keeper.volatile.log.push(command);
-                let group = if is_reliable {
-                    self.all_with(keeper.volatile)
+                let group = if is_failure_free {
+                    self.with_all(keeper.volatile)
                 } else {
                     self.with(leader, keeper)
                 };
@@ -306,14 +308,14 @@
         }
     }
 
-    /// A keeper receives the leader's log, or syncs what it has.
-    pub(super) fn replications(&self, specification: &Specification) -> Vec<Self> {
+    /// A keeper receives the leader's log, syncs its own, or is promoted to voter.
+    pub(super) fn replication_steps(&self, specification: &Specification) -> Vec<Self> {
         let mut groups = Vec::new();
-        for (at, keeper) in self.keepers.iter().enumerate() {
+        for (index, keeper) in self.keepers.iter().enumerate() {
             if keeper.volatile != keeper.durable {
                 let mut synced = *keeper;
                 synced.durable = synced.volatile;
-                groups.push(self.with(at, synced));
+                groups.push(self.with(index, synced));
             }
             let Some(leader) = self.leader() else {
                 continue;
@@ -322,31 +324,31 @@
             if keeper.volatile != accepted {
                 let mut received = *keeper;
                 received.volatile = accepted;
-                groups.push(self.with(at, received));
+                groups.push(self.with(index, received));
             }
-            // A learner counts once it has synced all that is committed.
-            if !keeper.is_counted
+            // A learner becomes a voter once it has synced everything that is committed.
+            if !keeper.is_voter
                 && keeper.durable == accepted
                 && self.is_committed(specification, leader)
             {
-                let mut counted = *keeper;
-                counted.is_counted = true;
-                groups.push(self.with(at, counted));
+                let mut promoted = *keeper;
+                promoted.is_voter = true;
+                groups.push(self.with(index, promoted));
             }
         }
         groups
     }
 
-    /// A candidate wins with the vote of one other keeper, takes over the newer of the two synced
-    /// logs, and accepts it in a new view.
-    pub(super) fn elections(&self) -> Vec<Self> {
-        let views = self.keepers.iter().map(|keeper| keeper.volatile.view);
-        let view = views.max().unwrap_or(0) + 1;
+    /// A candidate wins with the vote of one other keeper, adopts the newer of the two synced logs,
+    /// and accepts it in a new term.
+    pub(super) fn election_steps(&self) -> Vec<Self> {
+        let terms = self.keepers.iter().map(|keeper| keeper.volatile.term);
+        let term = terms.max().unwrap_or(0) + 1;
         let mut groups = Vec::new();
         for candidate in 0..KEEPERS {
             for voter in (0..KEEPERS).filter(|voter| *voter != candidate) {
                 let mut keepers = self.keepers;
-                if !keepers[candidate].is_counted || !keepers[voter].is_counted {
+                if !keepers[candidate].is_voter || !keepers[voter].is_voter {
                     continue;
                 }
                 for keeper in &mut keepers {
@@ -355,12 +357,12 @@
                 keepers[voter].durable = keepers[voter].volatile;
                 let newer = newer(keepers[candidate].volatile, keepers[voter].durable);
                 let accepted = Accepted {
-                    view,
+                    term,
                     log: newer.log,
                 };
                 keepers[candidate] = Keeper {
                     is_leader: true,
-                    is_counted: true,
+                    is_voter: true,
                     volatile: accepted,
                     durable: accepted,
                 };
@@ -370,38 +372,35 @@
         groups
     }
 
-    /// A keeper crashes and restarts with what it had synced.
-    pub(super) fn crashes(&self) -> Vec<Self> {
-        let crash = |at: usize| {
-            let mut keeper = self.keepers[at];
+    /// A keeper crashes and restarts with its synced state.
+    pub(super) fn crash_steps(&self) -> Vec<Self> {
+        let crash = |index: usize| {
+            let mut keeper = self.keepers[index];
             keeper.volatile = keeper.durable;
             keeper.is_leader = false;
-            self.with(at, keeper)
+            self.with(index, keeper)
         };
         (0..KEEPERS).map(crash).collect()
     }
 
-    /// A keeper restarts with an empty disk, as a learner, while the others have theirs.
-    pub(super) fn disk_losses(&self, specification: &Specification) -> Vec<Self> {
-        let all_counted = self.keepers.iter().all(|keeper| keeper.is_counted);
-        if !all_counted {
+    /// A keeper restarts as a learner with an empty disk, which is possible only while all keepers
+    /// are voters.
+    pub(super) fn disk_loss_steps(&self, specification: &Specification) -> Vec<Self> {
+        let all_are_voters = self.keepers.iter().all(|keeper| keeper.is_voter);
+        if !all_are_voters {
             return Vec::new();
         }
-        let lost = Keeper {
+        let empty = Keeper {
             is_leader: false,
-            is_counted: specification.has(Fault::AmnesiacVoter),
+            is_voter: specification.has(Fault::EmptyDiskVotes),
             volatile: Accepted::default(),
             durable: Accepted::default(),
         };
-        (0..KEEPERS).map(|at| self.with(at, lost)).collect()
+        (0..KEEPERS).map(|index| self.with(index, empty)).collect()
     }
 }
 
-fn newer(one: Accepted, other: Accepted) -> Accepted {
-    let rank = |accepted: &Accepted| (accepted.view, accepted.log.len());
-    if rank(&one) >= rank(&other) {
-        one
-    } else {
-        other
-    }
+fn newer(a: Accepted, b: Accepted) -> Accepted {
+    let rank = |accepted: &Accepted| (accepted.term, accepted.log.len());
+    if rank(&a) >= rank(&b) { a } else { b }
 }
--- a/crates/auburnbridge_spec/src/lib.rs
+++ b/crates/auburnbridge_spec/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small specifications of the core protocols and their exhaustive search.
+//! Executable models of the core protocols, checked by exhaustive state-space search.
 
 pub mod ledger;
 pub mod log;
--- a/crates/auburnbridge_spec/src/log.rs
+++ b/crates/auburnbridge_spec/src/log.rs
@@ -1,86 +1,87 @@
-//! Specification of the replicated log: votes, append and repair, with an empty disk and repeated
+//! Model of the replicated log: elections, append and repair, with disk replacement and resent
 //! edits.
 //!
 //! Three replicas start as voters. A replica writes its term and vote in two steps (change, sync),
-//! so that a crash can fall between them; a record is written and synced in one step, which is the
-//! same as a message that arrives later. A message is a step that reads the sender's state, so that
-//! loss, delay and reordering are steps that happen never, later or in another order.
+//! so that a crash can happen between them. A record is written and synced in one step; a separate
+//! sync would be equivalent to a message that arrives later. Delivery of a message is a step that
+//! reads the sender's state, so loss, delay and reordering correspond to that step being taken
+//! never, later or in another order.
 //!
-//! One disk may be replaced by an empty one. Its replica has a new id, receives the log, and is
-//! added by one record and its predecessor removed by another. A client may send an edit again.
+//! One disk may be replaced by an empty one. The replica then has a new id and receives the log;
+//! one record adds it as a member and another removes its predecessor. A client may resend an edit.
 //!
-//! [`explore`] visits each reachable state. With a [`Fault`] one rule is left out, and the search
-//! must find a state that breaks an invariant.
+//! [`explore`] visits every reachable state. A [`Fault`] disables one rule, and the search must
+//! then find a state that violates an invariant.
 
 use pathfinding::directed::bfs::bfs_reach;
 
 const REPLICAS: usize = 3;
-/// Ids of the three replicas and of the one that follows a replaced disk.
+/// Number of ids: the initial replicas and the one that runs on the replacement disk.
 const IDS: usize = REPLICAS + 1;
 const MAX_RECORDS: usize = 4;
 const MAX_TERMS: usize = 5;
 
-/// Bounds of the search.
+/// Limits on the explored events.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Highest term.
     pub terms: u8,
-    /// Records in a log, at most four.
+    /// Maximum number of records in a log, up to four.
     pub records: u8,
-    /// Different edits.
+    /// Number of distinct edits.
     pub edits: u8,
-    /// Times that an edit may be in one log, because its client has sent it again.
+    /// Maximum number of times that one log contains the same edit because its client resent it.
     pub copies: u8,
-    /// Crashes.
+    /// Maximum number of crashes.
     pub crashes: u8,
-    /// Whether a disk may be replaced.
+    /// Whether one disk may be replaced by an empty one.
     pub replaces_disk: bool,
 }
 
-/// A rule that is left out.
+/// A protocol rule that is disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A vote is sent before it is synced.
+    /// A replica sends its vote before syncing it.
     VoteBeforeSync,
-    /// A replica with an empty disk keeps the id of the one before and votes in its place.
-    AmnesiacVote,
-    /// A leader commits a record of an earlier term by counting its copies.
+    /// A replica with an empty disk keeps its predecessor's id and votes in its place.
+    EmptyDiskVotes,
+    /// A leader commits a record of an earlier term by counting the replicas that hold it.
     CommitOlderTerm,
-    /// A repeated edit takes effect again.
-    EffectPerCopy,
+    /// A resent edit is applied again.
+    ReapplyResentEdit,
 }
 
-/// A broken invariant.
+/// A violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Violation {
     /// A term has two leaders.
     TwoLeaders,
-    /// A committed record was replaced by another.
+    /// A committed record was replaced by a different one.
     CommittedChanged,
-    /// An edit took effect twice.
-    EffectTwice,
+    /// An edit was applied twice.
+    AppliedTwice,
 }
 
 /// Result of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// States visited.
+    /// Number of states visited.
     pub states: usize,
-    /// States in which the replica of a replaced disk is removed by a committed record.
+    /// Number of states in which a committed record has removed the replica of the replaced disk.
     pub repaired_states: usize,
-    /// First violation found; the search ends there.
+    /// The first violation found, at which the search stopped.
     pub violation: Option<Violation>,
 }
 
-/// Visits all states within `bounds`, or until one breaks an invariant.
+/// Visits all states within `bounds`, or until one violates an invariant.
 pub fn explore(bounds: Bounds, fault: Option<Fault>) -> Report {
-    let spec = Spec { bounds, fault };
+    let specification = Specification { bounds, fault };
     let mut report = Report {
         states: 0,
         repaired_states: 0,
         violation: None,
     };
-    for state in bfs_reach(State::new(), |state| spec.successors(state)) {
+    for state in bfs_reach(State::new(), |state| specification.successors(state)) {
         report.states += 1;
         report.repaired_states += usize::from(state.is_repaired());
         if state.violation.is_some() {
@@ -92,9 +93,9 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Content {
+enum Payload {
     Edit(u8),
-    /// Adds the replica that follows the replaced disk.
+    /// Adds the replica on the replacement disk as a voter.
     Add,
     /// Removes the replica whose disk was replaced.
     Remove(u8),
@@ -103,7 +104,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Record {
     term: u8,
-    content: Content,
+    payload: Payload,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -120,7 +121,7 @@
         self.iter().count()
     }
 
-    /// Term and number of the last record, by which logs are compared in a vote.
+    /// Term and index of the last record, by which logs are compared in an election.
     fn last(&self) -> (u8, usize) {
         let term = self.iter().last().map_or(0, |record| record.term);
         (term, self.len())
@@ -144,23 +145,23 @@
         prefix
     }
 
-    /// The voters by id. A member list is in force as soon as it is in the log.
-    fn voters(&self) -> Ids {
-        let start = Ids((1 << REPLICAS) - 1);
+    /// Ids of the voters. A membership change takes effect as soon as it is in the log.
+    fn voters(&self) -> ReplicaIds {
+        let start = ReplicaIds((1 << REPLICAS) - 1);
         self.iter()
-            .fold(start, |voters, record| match record.content {
-                Content::Edit(_) => voters,
-                Content::Add => voters.with(REPLICAS),
-                Content::Remove(id) => voters.without(usize::from(id)),
+            .fold(start, |voters, record| match record.payload {
+                Payload::Edit(_) => voters,
+                Payload::Add => voters.with(REPLICAS),
+                Payload::Remove(id) => voters.without(usize::from(id)),
             })
     }
 }
 
 /// A set of replica ids.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Ids(u8);
+struct ReplicaIds(u8);
 
-impl Ids {
+impl ReplicaIds {
     fn with(self, id: usize) -> Self {
         Self(self.0 | 1 << id)
     }
@@ -169,7 +170,7 @@
         Self(self.0 & !(1 << id))
     }
 
-    fn has(self, id: usize) -> bool {
+    fn contains(self, id: usize) -> bool {
         self.0 & 1 << id != 0
     }
 
@@ -186,9 +187,9 @@
     Leader,
 }
 
-/// Term and vote.
+/// The term and vote that a replica persists.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Ballot {
+struct HardState {
     term: u8,
     vote: Option<u8>,
 }
@@ -196,12 +197,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Replica {
     id: u8,
-    ballot: Ballot,
-    synced_ballot: Ballot,
+    hard_state: HardState,
+    synced_hard_state: HardState,
     log: Log,
     role: Role,
-    votes: Ids,
-    /// Records that each member has confirmed to this leader.
+    votes: ReplicaIds,
+    /// Number of records that each replica, by id, has acknowledged to this leader.
     matched: [u8; IDS],
     commit: u8,
 }
@@ -210,10 +211,10 @@
 struct State {
     replicas: [Replica; REPLICAS],
     crashes: u8,
-    /// Slot of the replaced disk.
+    /// Index in `replicas` of the replica whose disk was replaced.
     replaced: Option<u8>,
     leaders: [Option<u8>; MAX_TERMS],
-    /// Everything that any leader has committed.
+    /// All records that any leader has committed.
     committed: Log,
     violation: Option<Violation>,
 }
@@ -239,39 +240,39 @@
     fn is_repaired(&self) -> bool {
         self.committed
             .iter()
-            .any(|record| matches!(record.content, Content::Remove(_)))
+            .any(|record| matches!(record.payload, Payload::Remove(_)))
     }
 }
 
 impl Replica {
-    fn follow(&mut self, term: u8) {
-        if term > self.ballot.term {
-            self.ballot = Ballot { term, vote: None };
+    fn become_follower(&mut self, term: u8) {
+        if term > self.hard_state.term {
+            self.hard_state = HardState { term, vote: None };
         }
-        self.stop_leading();
+        self.reset_role();
     }
 
-    fn stop_leading(&mut self) {
+    fn reset_role(&mut self) {
         self.role = Role::Follower;
-        self.votes = Ids::default();
+        self.votes = ReplicaIds::default();
         self.matched = [0; IDS];
         self.commit = 0;
     }
 }
 
-struct Spec {
+struct Specification {
     bounds: Bounds,
     fault: Option<Fault>,
 }
 
-impl Spec {
+impl Specification {
     fn successors(&self, state: &State) -> Vec<State> {
         if state.violation.is_some() {
             return Vec::new();
         }
         let mut next = Vec::new();
         for slot in 0..REPLICAS {
-            next.extend(self.stand(state, slot));
+            next.extend(self.start_election(state, slot));
             next.extend(sync(state, slot));
             next.extend(self.crash(state, slot));
             next.extend(self.replace_disk(state, slot));
@@ -280,26 +281,26 @@
                 next.extend(self.propose(state, slot, edit));
             }
             for other in (0..REPLICAS).filter(|other| *other != slot) {
-                next.extend(self.vote(state, slot, other));
-                next.extend(self.receive_vote(state, slot, other));
+                next.extend(self.handle_vote_request(state, slot, other));
+                next.extend(self.handle_vote(state, slot, other));
                 next.extend(self.append(state, slot, other));
-                next.extend(self.confirm(state, slot, other));
+                next.extend(self.handle_acknowledgement(state, slot, other));
             }
         }
         next
     }
 
-    /// A voter stands for election; one that leads has lost its quorum.
-    fn stand(&self, state: &State, slot: usize) -> Option<State> {
+    /// A voter starts an election. A leader that does so has lost its quorum.
+    fn start_election(&self, state: &State, slot: usize) -> Option<State> {
         let mut next = *state;
         let replica = &mut next.replicas[slot];
-        let is_voter = replica.log.voters().has(usize::from(replica.id));
-        if replica.ballot.term >= self.bounds.terms || !is_voter {
+        let is_voter = replica.log.voters().contains(usize::from(replica.id));
+        if replica.hard_state.term >= self.bounds.terms || !is_voter {
             return None;
         }
-        replica.stop_leading();
-        replica.ballot = Ballot {
-            term: replica.ballot.term + 1,
+        replica.reset_role();
+        replica.hard_state = HardState {
+            term: replica.hard_state.term + 1,
             vote: Some(replica.id),
         };
         replica.role = Role::Candidate;
@@ -307,48 +308,48 @@
         Some(next)
     }
 
-    /// Without crashes, a sync that happens later is the same as a change that happens later.
+    /// Syncs at once if no crash is possible: a later sync is then equivalent to a later change.
     fn sync_without_crashes(&self, state: &mut State, slot: usize) {
         if self.bounds.crashes == 0 {
             sync_now(state, slot);
         }
     }
 
-    /// The request of the candidate in `other` reaches the replica in `slot`.
-    fn vote(&self, state: &State, slot: usize, other: usize) -> Option<State> {
+    /// The vote request of the candidate at `other` reaches the replica at `slot`.
+    fn handle_vote_request(&self, state: &State, slot: usize, other: usize) -> Option<State> {
         let candidate = state.replicas[other];
         let mut next = *state;
         let voter = &mut next.replicas[slot];
-        let is_asking =
-            candidate.role == Role::Candidate && candidate.synced_ballot == candidate.ballot;
-        if !is_asking || candidate.ballot.term < voter.ballot.term {
+        let is_requesting = candidate.role == Role::Candidate
+            && candidate.synced_hard_state == candidate.hard_state;
+        if !is_requesting || candidate.hard_state.term < voter.hard_state.term {
             return None;
         }
-        if candidate.ballot.term > voter.ballot.term {
-            voter.follow(candidate.ballot.term);
+        if candidate.hard_state.term > voter.hard_state.term {
+            voter.become_follower(candidate.hard_state.term);
         }
-        let is_free = voter.ballot.vote.is_none();
-        if is_free && candidate.log.last() >= voter.log.last() {
-            voter.ballot.vote = Some(candidate.id);
+        let has_not_voted = voter.hard_state.vote.is_none();
+        if has_not_voted && candidate.log.last() >= voter.log.last() {
+            voter.hard_state.vote = Some(candidate.id);
         }
         self.sync_without_crashes(&mut next, slot);
         (next != *state).then_some(next)
     }
 
-    /// The vote of `other` reaches the candidate in `slot`.
-    fn receive_vote(&self, state: &State, slot: usize, other: usize) -> Option<State> {
+    /// The vote of the replica at `other` reaches the candidate at `slot`.
+    fn handle_vote(&self, state: &State, slot: usize, other: usize) -> Option<State> {
         let candidate = state.replicas[slot];
         let voter = state.replicas[other];
-        let ballot = match self.fault {
-            Some(Fault::VoteBeforeSync) => voter.ballot,
-            _ => voter.synced_ballot,
+        let hard_state = match self.fault {
+            Some(Fault::VoteBeforeSync) => voter.hard_state,
+            _ => voter.synced_hard_state,
         };
-        let wanted = Ballot {
-            term: candidate.ballot.term,
+        let wanted = HardState {
+            term: candidate.hard_state.term,
             vote: Some(candidate.id),
         };
-        let is_new = !candidate.votes.has(usize::from(voter.id));
-        if candidate.role != Role::Candidate || ballot != wanted || !is_new {
+        let is_new = !candidate.votes.contains(usize::from(voter.id));
+        if candidate.role != Role::Candidate || hard_state != wanted || !is_new {
             return None;
         }
         let mut next = *state;
@@ -358,22 +359,22 @@
         Some(next)
     }
 
-    /// A client's edit reaches a leader, perhaps again.
+    /// A client's new or resent edit reaches a leader.
     fn propose(&self, state: &State, slot: usize, edit: u8) -> Option<State> {
-        let content = Content::Edit(edit);
+        let payload = Payload::Edit(edit);
         let log = &state.replicas[slot].log;
         let copies = log
             .iter()
-            .filter(|record| record.content == content)
+            .filter(|record| record.payload == payload)
             .count();
         if copies >= usize::from(self.bounds.copies) {
             return None;
         }
-        self.append_own(state, slot, content)
+        self.append_as_leader(state, slot, payload)
     }
 
-    /// A leader adds the follower of a replaced disk once it has the whole log, then removes the
-    /// one before.
+    /// A leader adds the replica on the replacement disk as a voter once it has the whole log, then
+    /// removes its predecessor.
     fn change_members(&self, state: &State, slot: usize) -> Option<State> {
         let leader = state.replicas[slot];
         let replaced = state.replaced?;
@@ -382,60 +383,60 @@
             .log
             .iter()
             .last()
-            .is_some_and(|record| record.term == leader.ballot.term);
+            .is_some_and(|record| record.term == leader.hard_state.term);
         if usize::from(leader.commit) < length || !is_term_committed {
             return None;
         }
         let voters = leader.log.voters();
-        if !voters.has(REPLICAS) {
+        if !voters.contains(REPLICAS) {
             let is_caught_up = usize::from(leader.matched[REPLICAS]) == length;
             return is_caught_up
-                .then(|| self.append_own(state, slot, Content::Add))
+                .then(|| self.append_as_leader(state, slot, Payload::Add))
                 .flatten();
         }
-        if !voters.has(usize::from(replaced)) {
+        if !voters.contains(usize::from(replaced)) {
             return None;
         }
-        self.append_own(state, slot, Content::Remove(replaced))
+        self.append_as_leader(state, slot, Payload::Remove(replaced))
     }
 
-    fn append_own(&self, state: &State, slot: usize, content: Content) -> Option<State> {
+    fn append_as_leader(&self, state: &State, slot: usize, payload: Payload) -> Option<State> {
         let mut next = *state;
         let leader = &mut next.replicas[slot];
         if leader.role != Role::Leader || leader.log.len() >= usize::from(self.bounds.records) {
             return None;
         }
-        let term = leader.ballot.term;
-        leader.log.push(Record { term, content });
+        let term = leader.hard_state.term;
+        leader.log.push(Record { term, payload });
         Some(next)
     }
 
-    /// The leader in `slot` sends `other` its next record, which replaces a different one.
+    /// The leader at `slot` sends the next record to `other`, where it replaces a conflicting one.
     fn append(&self, state: &State, slot: usize, other: usize) -> Option<State> {
         let leader = state.replicas[slot];
         let mut next = *state;
         let follower = &mut next.replicas[other];
-        if leader.role != Role::Leader || follower.ballot.term > leader.ballot.term {
+        if leader.role != Role::Leader || follower.hard_state.term > leader.hard_state.term {
             return None;
         }
-        follower.follow(leader.ballot.term);
+        follower.become_follower(leader.hard_state.term);
         let shared = leader.log.shared_prefix(&follower.log);
         if shared < leader.log.len() {
             follower.log = leader.log.prefix(shared + 1);
         }
-        // A record is synced with the term of its leader.
+        // A record is synced together with the leader's term.
         if follower.log != state.replicas[other].log {
-            follower.synced_ballot = follower.ballot;
+            follower.synced_hard_state = follower.hard_state;
         }
         self.sync_without_crashes(&mut next, other);
         (next != *state).then_some(next)
     }
 
-    /// The leader in `slot` learns how many records `other` has synced.
-    fn confirm(&self, state: &State, slot: usize, other: usize) -> Option<State> {
+    /// The leader at `slot` learns how many records `other` has synced.
+    fn handle_acknowledgement(&self, state: &State, slot: usize, other: usize) -> Option<State> {
         let leader = state.replicas[slot];
         let follower = state.replicas[other];
-        let is_following = follower.synced_ballot.term == leader.ballot.term;
+        let is_following = follower.synced_hard_state.term == leader.hard_state.term;
         if leader.role != Role::Leader || !is_following {
             return None;
         }
@@ -447,7 +448,7 @@
         (next != *state).then_some(next)
     }
 
-    /// A leader commits what a majority of the voters holds.
+    /// A leader commits the records that a majority of the voters holds.
     fn commit(&self, state: &mut State, slot: usize) {
         let leader = state.replicas[slot];
         let voters = leader.log.voters();
@@ -459,9 +460,9 @@
                         let is_own = *id == usize::from(leader.id);
                         is_own || usize::from(leader.matched[*id]) >= *length
                     })
-                    .fold(Ids::default(), Ids::with);
+                    .fold(ReplicaIds::default(), ReplicaIds::with);
                 let term = leader.log.records[length - 1].map(|record| record.term);
-                let is_own_term = term == Some(leader.ballot.term);
+                let is_own_term = term == Some(leader.hard_state.term);
                 let may_count = is_own_term || self.fault == Some(Fault::CommitOlderTerm);
                 may_count && holders.has_majority_of(voters)
             });
@@ -476,24 +477,24 @@
         } else if length > state.committed.len() {
             state.committed = committed;
         }
-        if self.has_repeated_effect(&committed) {
-            state.violation = Some(Violation::EffectTwice);
+        if self.applies_an_edit_twice(&committed) {
+            state.violation = Some(Violation::AppliedTwice);
         }
     }
 
-    /// Applies a log and says whether an edit took effect twice.
-    fn has_repeated_effect(&self, log: &Log) -> bool {
-        let mut effects = [0_u8; MAX_RECORDS];
+    /// Applies a log and returns whether any edit was applied twice.
+    fn applies_an_edit_twice(&self, log: &Log) -> bool {
+        let mut applied = [0_u8; MAX_RECORDS];
         for record in log.iter() {
-            if let Content::Edit(edit) = record.content {
-                let effect = &mut effects[usize::from(edit)];
-                let is_repeated = *effect > 0;
-                if !is_repeated || self.fault == Some(Fault::EffectPerCopy) {
-                    *effect += 1;
+            if let Payload::Edit(edit) = record.payload {
+                let count = &mut applied[usize::from(edit)];
+                let is_repeated = *count > 0;
+                if !is_repeated || self.fault == Some(Fault::ReapplyResentEdit) {
+                    *count += 1;
                 }
             }
         }
-        effects.iter().any(|effect| *effect > 1)
+        applied.iter().any(|count| *count > 1)
     }
 
     fn crash(&self, state: &State, slot: usize) -> Option<State> {
@@ -503,8 +504,8 @@
         let mut next = *state;
         next.crashes += 1;
         let replica = &mut next.replicas[slot];
-        replica.stop_leading();
-        replica.ballot = replica.synced_ballot;
+        replica.reset_role();
+        replica.hard_state = replica.synced_hard_state;
         Some(next)
     }
 
@@ -515,7 +516,7 @@
         let mut next = *state;
         let slot_number = u8::try_from(slot).ok()?;
         let id = match self.fault {
-            Some(Fault::AmnesiacVote) => slot_number,
+            Some(Fault::EmptyDiskVotes) => slot_number,
             _ => u8::try_from(REPLICAS).ok()?,
         };
         next.replaced = Some(slot_number);
@@ -535,21 +536,21 @@
 
 fn sync_now(state: &mut State, slot: usize) {
     let replica = &mut state.replicas[slot];
-    replica.synced_ballot = replica.ballot;
+    replica.synced_hard_state = replica.hard_state;
     if replica.role == Role::Candidate {
         replica.votes = replica.votes.with(usize::from(replica.id));
     }
 }
 
-/// Makes a candidate with a majority the leader.
+/// Makes the candidate leader if it has a majority.
 fn elect(state: &mut State, slot: usize) {
     let candidate = &mut state.replicas[slot];
     if !candidate.votes.has_majority_of(candidate.log.voters()) {
         return;
     }
     candidate.role = Role::Leader;
-    candidate.votes = Ids::default();
-    let leader = &mut state.leaders[usize::from(candidate.ballot.term)];
+    candidate.votes = ReplicaIds::default();
+    let leader = &mut state.leaders[usize::from(candidate.hard_state.term)];
     if leader.is_some_and(|first| first != candidate.id) {
         state.violation = Some(Violation::TwoLeaders);
     }
--- a/crates/auburnbridge_spec/tests/log.rs
+++ b/crates/auburnbridge_spec/tests/log.rs
@@ -1,4 +1,4 @@
-//! Exhaustive search of the specification of the replicated log.
+//! Checks the model of the replicated log by exhaustive search, and the search by injecting faults.
 
 use auburnbridge_spec::log::{Bounds, Fault, Report, Violation, explore};
 
@@ -10,13 +10,13 @@
     crashes: 1,
     replaces_disk: false,
 };
-const REPEATED_EDITS: Bounds = Bounds {
+const RESENT_EDITS: Bounds = Bounds {
     records: 2,
     copies: 2,
     crashes: 0,
     ..VOTES_AND_CRASHES
 };
-const RACING_EDITS: Bounds = Bounds {
+const CONCURRENT_EDITS: Bounds = Bounds {
     terms: 3,
     edits: 2,
     crashes: 0,
@@ -33,15 +33,15 @@
     replaces_disk: true,
     ..VOTES_AND_CRASHES
 };
-const REPAIR_AND_REPEATS: Bounds = Bounds {
+const REPAIR_AND_RESENDS: Bounds = Bounds {
     records: 4,
     copies: 2,
     ..REPAIR
 };
 const REPAIR_AND_TERMS: Bounds = Bounds { terms: 3, ..REPAIR };
 
-/// Guards against a protocol that breaks an invariant in some order of steps. The number of states
-/// guards against a search that a changed rule has silently cut short.
+/// Asserts that no order of steps violates an invariant. The exact number of states detects a
+/// search that a changed rule has silently cut short.
 fn check_all_states(bounds: Bounds, states: usize, repaired_states: usize) {
     let expected = Report {
         states,
@@ -57,13 +57,13 @@
 }
 
 #[test]
-fn repeated_edits_take_effect_once() {
-    check_all_states(REPEATED_EDITS, 20_508, 0);
+fn resent_edits_are_applied_once() {
+    check_all_states(RESENT_EDITS, 20_508, 0);
 }
 
 #[test]
-fn racing_edits_keep_one_order() {
-    check_all_states(RACING_EDITS, 76_036, 0);
+fn concurrent_edits_keep_one_order() {
+    check_all_states(CONCURRENT_EDITS, 76_036, 0);
 }
 
 #[test]
@@ -77,8 +77,8 @@
 }
 
 #[test]
-fn an_empty_disk_is_repaired_despite_repeated_edits() {
-    check_all_states(REPAIR_AND_REPEATS, 298_959, 44_004);
+fn an_empty_disk_is_repaired_despite_resent_edits() {
+    check_all_states(REPAIR_AND_RESENDS, 298_959, 44_004);
 }
 
 #[test]
@@ -86,22 +86,26 @@
     check_all_states(REPAIR_AND_TERMS, 380_497, 36_570);
 }
 
-/// Guards against a search that can't see a broken rule: each seeded fault must be found.
+/// Guards against a search that misses a broken rule: each injected fault must be detected.
 #[test]
-fn finds_seeded_faults() {
+fn finds_injected_faults() {
     let cases = [
         (
             VOTES_AND_CRASHES,
             Fault::VoteBeforeSync,
             Violation::TwoLeaders,
         ),
-        (REPAIR, Fault::AmnesiacVote, Violation::TwoLeaders),
+        (REPAIR, Fault::EmptyDiskVotes, Violation::TwoLeaders),
         (
             MANY_TERMS,
             Fault::CommitOlderTerm,
             Violation::CommittedChanged,
         ),
-        (REPEATED_EDITS, Fault::EffectPerCopy, Violation::EffectTwice),
+        (
+            RESENT_EDITS,
+            Fault::ReapplyResentEdit,
+            Violation::AppliedTwice,
+        ),
     ];
     for (bounds, fault, violation) in cases {
         let report = explore(bounds, Some(fault));
