--- a/crates/auburnbridge_standin/src/announcer.rs
+++ b/crates/auburnbridge_standin/src/announcer.rs
@@ -1,4 +1,4 @@
-//! Announcements of a stand-in target to the entries.
+//! Announcements that a stand-in target sends to the entries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,25 +11,29 @@
 
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Position of a target in its life.
+/// The fields of an announcement that change while a target runs or when it restarts.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Life {
+pub(crate) struct AnnouncementState {
     pub(crate) incarnation: u64,
     pub(crate) sequence: u64,
     pub(crate) is_leaving: bool,
 }
 
-/// Sends one announcement to each entry; one that can't be reached is left out.
-pub(crate) async fn announce(options: &TargetOptions, address: SocketAddr, life: Life) {
+/// Sends one announcement to each entry and ignores entries that can't be reached.
+pub(crate) async fn announce(
+    options: &TargetOptions,
+    address: SocketAddr,
+    state: AnnouncementState,
+) {
     let body = json!({
         "service": options.service.as_str(),
         "target": options.id.as_str(),
         "address": address.to_string(),
         "data_centre": options.data_centre.as_str(),
-        "incarnation": life.incarnation,
-        "sequence": life.sequence,
+        "incarnation": state.incarnation,
+        "sequence": state.sequence,
         "slots": options.slots.0,
-        "state": if life.is_leaving { "leaving" } else { "ready" },
+        "state": if state.is_leaving { "leaving" } else { "ready" },
     });
     let mut req = Request::new("POST", "/auburnbridge/announce");
     req.headers.append("Host", "auburnbridge");
--- a/crates/auburnbridge_standin/src/bin/auburnbridge-standin.rs
+++ b/crates/auburnbridge_standin/src/bin/auburnbridge-standin.rs
@@ -197,7 +197,7 @@
     let report = task::block_on(load::run(&plan));
     println!(
         "{}",
-        serde_json::to_string_pretty(&report).expect("a report is plain data")
+        serde_json::to_string_pretty(&report).expect("a report can be serialized as JSON")
     );
     ExitCode::SUCCESS
 }
--- a/crates/auburnbridge_standin/src/fault.rs
+++ b/crates/auburnbridge_standin/src/fault.rs
@@ -1,34 +1,34 @@
-//! Faults that a stand-in target shows on command.
+//! Faults that a stand-in target simulates on command.
 
 use serde::{Deserialize, Serialize};
 
-/// How a stand-in target misbehaves.
+/// Fault that a stand-in target simulates.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Fault {
-    /// Works as it should.
+    /// Normal operation.
     #[default]
     None,
-    /// Takes longer for each request.
+    /// Delays each request.
     Slow {
-        /// Additional time in milliseconds.
+        /// Additional processing time in milliseconds.
         ms: u64,
     },
-    /// Runs the request and closes after half of the answer.
+    /// Runs the request and closes the connection partway through the answer.
     HalfAnswer,
     /// Runs the request and never answers.
     Silent,
-    /// Runs the request and closes without an answer.
+    /// Runs the request and closes the connection without an answer.
     CloseAfterRun,
-    /// Closes each connection without reading.
+    /// Closes each new connection without reading from it.
     CloseAtOnce,
-    /// Answers each request with a server error.
+    /// Answers each request with a server error without running it.
     ServerError,
     /// Sheds each request.
     Shed,
-    /// Stops on a request whose path holds this text.
+    /// Counts an execution and crashes on a request whose path contains this text.
     CrashOn {
-        /// Part of the path.
+        /// Substring to search for in the path.
         path: String,
     },
 }
--- a/crates/auburnbridge_standin/src/lib.rs
+++ b/crates/auburnbridge_standin/src/lib.rs
@@ -1,7 +1,8 @@
 //! Stand-in targets and callers for tests, the quickstart and measurements.
 //!
-//! Nothing here is part of the shipped binary. The stand-in target counts each execution by its
-//! idempotency key and fails on command; the caller sends single requests or an open-loop load.
+//! This crate is not part of the shipped binary. The stand-in target counts executions by
+//! idempotency key and simulates faults on command; the stand-in caller sends single requests or
+//! generates an open-loop load.
 
 mod announcer;
 mod fault;
--- a/crates/auburnbridge_standin/src/load.rs
+++ b/crates/auburnbridge_standin/src/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load: arrivals follow a schedule drawn from a seed, whatever the answers do.
+//! Open-loop load: arrivals follow a schedule generated from a seed, independent of the answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,35 +15,35 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What to send.
+/// Parameters of a load run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Entries, used in turn.
+    /// Entries, used in round-robin order.
     pub entries: Vec<SocketAddr>,
-    /// Path of idempotent requests.
+    /// Path of idempotent requests, which carry no key.
     pub lookup_path: String,
     /// Path of keyed requests.
     pub keyed_path: String,
-    /// Share of keyed requests, 0 to 1.
+    /// Share of keyed requests, from 0 to 1.
     pub keyed_share: f64,
-    /// Arrivals a second.
+    /// Mean number of arrivals per second.
     pub rate: f64,
-    /// Length of the run.
+    /// Time during which requests are scheduled.
     pub duration: Duration,
-    /// Seed of arrivals and keys.
+    /// Seed of the arrival schedule and the random part of the keys.
     pub seed: u64,
 }
 
 /// Results of one class of requests.
 #[derive(Debug, Serialize)]
 pub struct ClassReport {
-    /// Number of responses of each status; 0 stands for no whole response.
+    /// Number of responses per status; status 0 counts requests without a complete response.
     pub statuses: BTreeMap<u16, u64>,
-    /// Median time from the scheduled arrival to the whole response, in microseconds.
+    /// Median time from the scheduled arrival to the complete response, in microseconds.
     pub p50_micros: u64,
-    /// 99th percentile in microseconds.
+    /// 99th percentile of the same time, in microseconds.
     pub p99_micros: u64,
-    /// 99.9th percentile in microseconds.
+    /// 99.9th percentile of the same time, in microseconds.
     pub p999_micros: u64,
 }
 
@@ -52,26 +52,27 @@
 pub struct Report {
     /// Seed of the run.
     pub seed: u64,
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Largest delay between the schedule and the sending, in microseconds: the tool's own error.
+    /// Largest delay between a scheduled arrival and its send, in microseconds: the measurement
+    /// error of this tool.
     pub worst_send_delay_micros: u64,
-    /// Idempotent requests.
+    /// Results of idempotent requests.
     pub lookups: ClassReport,
-    /// Keyed requests.
+    /// Results of keyed requests.
     pub keyed: ClassReport,
 }
 
-struct ClassResult {
+struct ClassResults {
     statuses: BTreeMap<u16, u64>,
     times: Histogram<u64>,
 }
 
-impl ClassResult {
+impl ClassResults {
     fn new() -> Self {
         Self {
             statuses: BTreeMap::new(),
-            times: Histogram::new(3).expect("three digits are a valid precision"),
+            times: Histogram::new(3).expect("3 significant digits are a valid precision"),
         }
     }
 
@@ -86,44 +87,47 @@
 }
 
 struct Shared {
+    /// Idle connections of each entry.
     idle: Vec<Mutex<Vec<Connection<TcpStream>>>>,
-    results: Mutex<[ClassResult; 2]>,
+    /// Results of idempotent requests, then of keyed requests.
+    results: Mutex<[ClassResults; 2]>,
 }
 
-/// Sends the plan's requests and reports on the answers.
+/// Sends the requests of `plan` and returns a report on the responses.
 pub async fn run(plan: &Plan) -> Report {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let shared = Arc::new(Shared {
         idle: plan.entries.iter().map(|_| Mutex::default()).collect(),
-        results: Mutex::new([ClassResult::new(), ClassResult::new()]),
+        results: Mutex::new([ClassResults::new(), ClassResults::new()]),
     });
     let start = Instant::now();
-    let mut at = Duration::ZERO;
+    let mut scheduled = Duration::ZERO;
     let mut sent = 0;
     let mut worst_send_delay = Duration::ZERO;
     let mut tasks = Vec::new();
-    while at < plan.duration {
-        at += Duration::from_secs_f64(-rng.random::<f64>().max(1e-12).ln() / plan.rate);
+    while scheduled < plan.duration {
+        scheduled += Duration::from_secs_f64(-rng.random::<f64>().max(1e-12).ln() / plan.rate);
         let keyed = rng.random_bool(plan.keyed_share);
         let req = request(plan, keyed, &mut rng);
-        if let Some(wait) = at.checked_sub(start.elapsed()) {
+        if let Some(wait) = scheduled.checked_sub(start.elapsed()) {
             task::sleep(wait).await;
         }
-        worst_send_delay = worst_send_delay.max(start.elapsed().saturating_sub(at));
+        worst_send_delay = worst_send_delay.max(start.elapsed().saturating_sub(scheduled));
         let entry = sent % plan.entries.len();
         let address = plan.entries[entry];
         let shared = Arc::clone(&shared);
         tasks.push(task::spawn(async move {
             let status = shared.exchange(entry, address, &req).await.unwrap_or(0);
-            let time = start.elapsed().saturating_sub(at);
+            let time = start.elapsed().saturating_sub(scheduled);
             let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
             let result = &mut shared.results.lock()[usize::from(keyed)];
             *result.statuses.entry(status).or_default() += 1;
-            // A saturating record would cut values at the initial range of an auto-resizing histogram.
+            // `saturating_record` would clip values to the initial range, although the histogram
+            // resizes itself.
             result
                 .times
                 .record(micros)
-                .expect("the histogram grows with its values");
+                .expect("an auto-resizing histogram accepts any value");
         }));
         sent += 1;
     }
@@ -177,7 +181,7 @@
     req
 }
 
-/// Creates an idempotency key of the present time.
+/// Creates an idempotency key with the current time as its timestamp.
 pub fn new_key(rng: &mut impl RngCore) -> IdempotencyKey {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/auburnbridge_standin/src/send.rs
+++ b/crates/auburnbridge_standin/src/send.rs
@@ -1,4 +1,4 @@
-//! Sends one request over a connection of its own.
+//! Sends one request over a new connection.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,14 +8,14 @@
 use async_std::net::TcpStream;
 use auburnbridge_http::{Connection, FramingError, Limits, Request, RequestInfo, Response};
 
-/// Reason why no whole response came.
+/// Reason why no complete response was received.
 #[derive(Debug)]
 pub enum SendError {
-    /// The connection could not be made.
+    /// The connection could not be established or configured.
     Connect(std::io::Error),
-    /// The response was not whole.
+    /// The request could not be written, or the response was invalid or incomplete.
     Framing(FramingError),
-    /// The time was over.
+    /// The time limit expired.
     TimedOut,
 }
 
@@ -31,7 +31,12 @@
 
 impl std::error::Error for SendError {}
 
-/// Sends `req` to `address` and reads the whole response.
+/// Sends `req` to `address` and reads the complete response.
+///
+/// # Errors
+///
+/// Returns an error if the connection fails, the response is invalid or incomplete, or the exchange
+/// takes longer than `limit`.
 pub async fn send(
     address: SocketAddr,
     req: &Request,
--- a/crates/auburnbridge_standin/src/target.rs
+++ b/crates/auburnbridge_standin/src/target.rs
@@ -1,4 +1,4 @@
-//! A stand-in target on a real socket.
+//! A stand-in target that serves requests on a real socket.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
 use serde_json::json;
 
 use crate::Fault;
-use crate::announcer::{Life, announce};
+use crate::announcer::{AnnouncementState, announce};
 
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
-/// Header with the time that one request works, in milliseconds.
+/// Request header that sets the simulated processing time in milliseconds.
 const WORK_HEADER: &str = "Standin-Work-Ms";
 
 /// Settings of a stand-in target.
@@ -39,13 +39,14 @@
 }
 
 impl TargetOptions {
-    /// Starts with a target of 3 slots and 5 ms of work on a free port.
+    /// Creates a builder. The defaults are a free loopback port, 3 slots and a processing time of
+    /// 5 ms.
     pub fn builder(id: TargetId, service: ServiceName) -> TargetOptionsBuilder {
         TargetOptionsBuilder(Self {
             id,
             service,
             address: ([127, 0, 0, 1], 0).into(),
-            data_centre: "east".parse().expect("a valid name"),
+            data_centre: "east".parse().expect("the data centre name is valid"),
             slots: Slots(3),
             work: Millis(5),
             announce_to: Vec::new(),
@@ -80,28 +81,28 @@
         self
     }
 
-    /// Sets the time that a request works.
+    /// Sets the simulated processing time of a request.
     #[must_use]
     pub fn work(mut self, work: Millis) -> Self {
         self.0.work = work;
         self
     }
 
-    /// Sets the entries that hear the announcements.
+    /// Sets the entries that receive the announcements.
     #[must_use]
     pub fn announce_to(mut self, entries: Vec<SocketAddr>) -> Self {
         self.0.announce_to = entries;
         self
     }
 
-    /// Ends the process on a crash instead of closing the sockets.
+    /// Sets whether a crash ends the process instead of closing the sockets.
     #[must_use]
     pub fn exits_on_crash(mut self, exits: bool) -> Self {
         self.0.exits_on_crash = exits;
         self
     }
 
-    /// The finished options.
+    /// Returns the options.
     pub fn build(self) -> TargetOptions {
         self.0
     }
@@ -122,17 +123,21 @@
     sequence: AtomicU64,
     is_leaving: AtomicBool,
     is_crashed: AtomicBool,
-    /// Closed on a crash, which ends the listener at once.
+    /// Channel that is closed on a crash, which stops the listener at once.
     crashed: (Sender<()>, Receiver<()>),
     in_flight: AtomicU32,
     fault: Mutex<Fault>,
     executions: Mutex<BTreeMap<String, u32>>,
-    /// Streams of open connections, closed on a crash.
+    /// Streams of accepted connections, shut down on a crash.
     streams: Mutex<Vec<TcpStream>>,
 }
 
 impl Target {
-    /// Starts to listen and to announce itself.
+    /// Binds the listener and starts to accept connections and send announcements.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the address can't be bound.
     pub async fn start(options: TargetOptions) -> std::io::Result<Self> {
         let listener = TcpListener::bind(options.address).await?;
         let shared = Arc::new(Shared {
@@ -149,36 +154,36 @@
             options,
         });
         let tasks = vec![
-            task::spawn(accept(listener, Arc::clone(&shared))),
-            task::spawn(keep_announcing(Arc::clone(&shared))),
+            task::spawn(accept_connections(listener, Arc::clone(&shared))),
+            task::spawn(announce_periodically(Arc::clone(&shared))),
         ];
         Ok(Self { shared, tasks })
     }
 
-    /// The address it listens on.
+    /// Returns the address that the target listens on.
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// The number of executions of each idempotency key, or of each path without one.
+    /// Returns the number of executions per idempotency key, or per path for requests without one.
     pub fn executions(&self) -> BTreeMap<String, u32> {
         self.shared.executions.lock().clone()
     }
 
-    /// Shows a fault from now on.
+    /// Sets the fault to simulate from now on.
     pub fn set_fault(&self, fault: Fault) {
         *self.shared.fault.lock() = fault;
     }
 
-    /// Announces that it is leaving.
+    /// Announces to all entries that the target is leaving.
     pub async fn leave(&self) {
         self.shared.is_leaving.store(true, Ordering::SeqCst);
         self.shared.announce().await;
     }
 
-    /// Closes all sockets at once and stops announcing.
+    /// Closes all sockets and stops announcing immediately.
     pub async fn crash(&mut self) {
-        self.shared.close_streams();
+        self.shared.close_sockets();
         for task in self.tasks.drain(..) {
             task.cancel().await;
         }
@@ -186,7 +191,7 @@
 }
 
 impl Shared {
-    fn take_connection(self: &Arc<Self>, stream: TcpStream) {
+    fn serve_connection(self: &Arc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         if *self.fault.lock() == Fault::CloseAtOnce {
             return;
@@ -196,15 +201,15 @@
     }
 
     async fn announce(&self) {
-        let life = Life {
+        let state = AnnouncementState {
             incarnation: self.incarnation,
             sequence: self.sequence.fetch_add(1, Ordering::SeqCst),
             is_leaving: self.is_leaving.load(Ordering::SeqCst),
         };
-        announce(&self.options, self.address, life).await;
+        announce(&self.options, self.address, state).await;
     }
 
-    fn close_streams(&self) {
+    fn close_sockets(&self) {
         self.is_crashed.store(true, Ordering::SeqCst);
         self.crashed.0.close();
         for stream in self.streams.lock().drain(..) {
@@ -216,23 +221,23 @@
         if self.options.exits_on_crash {
             std::process::exit(101);
         }
-        self.close_streams();
+        self.close_sockets();
     }
 }
 
-async fn keep_announcing(shared: Arc<Shared>) {
+async fn announce_periodically(shared: Arc<Shared>) {
     while !shared.is_crashed.load(Ordering::SeqCst) {
         shared.announce().await;
         task::sleep(ANNOUNCE_INTERVAL).await;
     }
 }
 
-async fn accept(listener: TcpListener, shared: Arc<Shared>) {
+async fn accept_connections(listener: TcpListener, shared: Arc<Shared>) {
     let crash = shared.crashed.1.clone();
     let accepting = async {
         loop {
             if let Ok((stream, _)) = listener.accept().await {
-                shared.take_connection(stream);
+                shared.serve_connection(stream);
             }
         }
     };
@@ -259,7 +264,7 @@
 }
 
 impl Shared {
-    /// The response to write, or `None` when the connection ends here.
+    /// Returns the response to write, or `None` to close the connection without a response.
     async fn respond(
         &self,
         connection: &mut Connection<TcpStream>,
@@ -275,13 +280,13 @@
         }
         let fault = self.fault.lock().clone();
         if matches!(&fault, Fault::CrashOn { path } if req.path.contains(path.as_str())) {
-            self.count(req);
+            self.record_execution(req);
             self.crash();
             return None;
         }
         let in_flight = self.in_flight.fetch_add(1, Ordering::SeqCst);
         let response = if fault == Fault::Shed || in_flight >= self.options.slots.0 {
-            Some(shed())
+            Some(shed_response())
         } else {
             self.run(connection, req, fault).await
         };
@@ -298,16 +303,16 @@
         if fault == Fault::ServerError {
             return Some(json_response(500, &json!({"error": "internal"})));
         }
-        let execution = self.count(req);
-        let mut work = req
+        let execution = self.record_execution(req);
+        let mut work_ms = req
             .headers
             .text(WORK_HEADER)
             .and_then(|text| text.parse().ok())
             .unwrap_or(self.options.work.0);
         if let Fault::Slow { ms } = fault {
-            work += ms;
+            work_ms += ms;
         }
-        if !self.work(connection, work).await {
+        if !self.simulate_work(connection, work_ms).await {
             log::info!("target={} cancelled path={}", self.options.id, req.path);
             return None;
         }
@@ -336,8 +341,9 @@
         }
     }
 
-    /// Works for `ms`; `false` when the entry closed the connection meanwhile.
-    async fn work(&self, connection: &mut Connection<TcpStream>, ms: u64) -> bool {
+    /// Simulates `ms` milliseconds of processing. Returns `false` if the entry closes the
+    /// connection before the end.
+    async fn simulate_work(&self, connection: &mut Connection<TcpStream>, ms: u64) -> bool {
         let work = async {
             task::sleep(Duration::from_millis(ms)).await;
             true
@@ -351,7 +357,7 @@
         work.or(cancelled).await
     }
 
-    fn count(&self, req: &Request) -> u32 {
+    fn record_execution(&self, req: &Request) -> u32 {
         let key = req
             .headers
             .text("Idempotency-Key")
@@ -380,7 +386,7 @@
     }
 }
 
-fn shed() -> Response {
+fn shed_response() -> Response {
     let mut response = json_response(503, &json!({"error": "no slot is free"}));
     response.headers.append("Auburnbridge-Shed", "1");
     response
