--- a/crates/auburnbridge_capacity/src/account_limits.rs
+++ b/crates/auburnbridge_capacity/src/account_limits.rs
@@ -1,10 +1,10 @@
-//! Cost of the limits per account on one entry.
+//! Measures the account limiter of one entry.
 
 use auburnbridge_policy::{AccountLimit, AccountLimiter};
 use auburnbridge_types::{AccountId, RatePerSecond};
 
 use crate::fixtures::START;
-use crate::measure::{Metric, Report, heap_bytes, nanos_each};
+use crate::measure::{Metric, Report, heap_bytes, nanos_per_call};
 
 const SIZES: [u32; 3] = [1_000, 100_000, 400_000];
 const LIMIT: AccountLimit = AccountLimit {
@@ -20,7 +20,7 @@
     Metric {
         id,
         name,
-        of: "accounts",
+        size_unit: "accounts",
         unit,
     }
 }
@@ -29,16 +29,16 @@
     for accounts in SIZES {
         let (mut limiter, bytes) = heap_bytes(|| fill(accounts));
         report.record(MEMORY, accounts, bytes);
-        let names: Vec<AccountId> = (0..1_000)
-            .map(|number| name(number * 7_919 % accounts))
+        let accounts_used: Vec<AccountId> = (0..1_000)
+            .map(|number| account_id(number * 7_919 % accounts))
             .collect();
-        let mut at = 0;
-        let admit = nanos_each(|| {
-            at = (at + 1) % names.len();
-            limiter.admit(START, &names[at], LIMIT).is_ok()
+        let mut index = 0;
+        let admit = nanos_per_call(|| {
+            index = (index + 1) % accounts_used.len();
+            limiter.admit(START, &accounts_used[index], LIMIT).is_ok()
         });
         report.record(ADMIT, accounts, admit / 1e3);
-        let sweep = nanos_each(|| limiter.sweep(START));
+        let sweep = nanos_per_call(|| limiter.sweep(START));
         report.record(SWEEP, accounts, sweep / 1e3);
     }
 }
@@ -47,12 +47,14 @@
     let mut limiter = AccountLimiter::default();
     for number in 0..accounts {
         limiter
-            .admit(START, &name(number), LIMIT)
-            .expect("the burst allows it");
+            .admit(START, &account_id(number), LIMIT)
+            .expect("the burst allows the request");
     }
     limiter
 }
 
-fn name(number: u32) -> AccountId {
-    format!("account-{number:06}").parse().expect("a name")
+fn account_id(number: u32) -> AccountId {
+    format!("account-{number:06}")
+        .parse()
+        .expect("the account id is valid")
 }
--- a/crates/auburnbridge_capacity/src/choice.rs
+++ b/crates/auburnbridge_capacity/src/choice.rs
@@ -1,4 +1,4 @@
-//! Cost of the decisions about the targets of one service.
+//! Measures target selection and placement for one service.
 
 use auburnbridge_policy::{Fleet, Member, Observation, RequestClass, ServicePolicy};
 use auburnbridge_types::{Millis, Slots};
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::fixtures::{self, START};
-use crate::measure::{Metric, Report, heap_bytes, nanos_each};
+use crate::measure::{Metric, Report, heap_bytes, nanos_per_call};
 
 pub const SIZES: [u32; 4] = [6, 25, 54, 200];
 
@@ -18,7 +18,7 @@
     Metric {
         id,
         name,
-        of: "targets",
+        size_unit: "targets",
         unit,
     }
 }
@@ -34,13 +34,13 @@
         });
         report.record(MEMORY, targets, bytes);
         let mut rng = ChaCha8Rng::seed_from_u64(1);
-        let choose = nanos_each(|| {
+        let choose = nanos_per_call(|| {
             let choice = fleet.choose(START, RequestClass::Once, &[], &mut rng);
             let key = choice.expect("targets are in use").key;
             fleet.finish(START, key, Observation::Answered(Millis(12)))
         });
         report.record(CHOOSE, targets, choose / 1e3);
-        let place = nanos_each(|| {
+        let place = nanos_per_call(|| {
             fleet.reconcile(START, &members);
             fleet.decide(START)
         });
--- a/crates/auburnbridge_capacity/src/fixtures.rs
+++ b/crates/auburnbridge_capacity/src/fixtures.rs
@@ -1,4 +1,4 @@
-//! Inputs of realistic size: names, announcements, rules lines and ledger keys.
+//! Inputs of realistic size: announcements, members, rules and ledger commands.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
     Timestamp,
 };
 
-/// Start of the measured time.
+/// Time at which simulated time starts.
 pub const START: Timestamp = Timestamp(1_790_000_000_000);
-/// Bytes of a stored answer: a head of about 200 bytes and a short JSON body.
+/// Size of a stored answer: a head of about 200 bytes and a short JSON body.
 pub const ANSWER_BYTES: usize = 256;
 
 const TARGETS_PER_SERVICE: u32 = 39;
@@ -25,12 +25,16 @@
     SocketAddr::from(([10, high, middle, low], 8_080))
 }
 
-/// Announcement of the target with this number.
+/// Returns the announcement of the target with this number.
 pub fn announcement(number: u32, sequence: u64) -> Announcement {
     let service = number / TARGETS_PER_SERVICE;
     Announcement {
-        service: format!("service-{service:04}").parse().expect("a name"),
-        target: format!("target-{number:05}").parse().expect("a name"),
+        service: format!("service-{service:04}")
+            .parse()
+            .expect("the name is valid"),
+        target: format!("target-{number:05}")
+            .parse()
+            .expect("the name is valid"),
         address: address(number),
         data_centre: data_centre(number),
         incarnation: Incarnation(u64::from(number % 7) + START.0),
@@ -40,10 +44,12 @@
     }
 }
 
-/// Announcement of the entry with this number.
+/// Returns the announcement of the entry with this number.
 pub fn entry_announcement(number: u32, sequence: u64) -> EntryAnnouncement {
     EntryAnnouncement {
-        vm: format!("entry-{number:04}").parse().expect("a name"),
+        vm: format!("entry-{number:04}")
+            .parse()
+            .expect("the name is valid"),
         address: address(number),
         data_centre: data_centre(number),
         incarnation: Incarnation(1),
@@ -58,10 +64,10 @@
     let number = number % DATA_CENTRES;
     format!("region-{}-dc-{number}", number % 8)
         .parse()
-        .expect("a name")
+        .expect("the name is valid")
 }
 
-/// A target as a placement decision sees it.
+/// Returns the target with this number as an input of placement.
 pub fn member(number: u32) -> Member {
     let announced = announcement(number, 1);
     Member {
@@ -74,7 +80,8 @@
     }
 }
 
-/// A rules file of `lines` lines: routes, and a service for each 61 of them.
+/// Returns a rules file of `lines` lines, in which every 61st line is a service and the others are
+/// its routes.
 pub fn rules_text(lines: u32) -> String {
     let mut text = String::new();
     for number in 0..lines {
@@ -87,12 +94,12 @@
         } else {
             writeln!(text, "{}", route_line(number, 2_000))
         }
-        .expect("writing to a string does not fail");
+        .expect("writing to a string can't fail");
     }
     text
 }
 
-/// The route line with this number.
+/// Returns the route line with this number.
 pub fn route_line(number: u32, timeout_ms: u32) -> String {
     let service = number / ROUTES_PER_SERVICE;
     format!(
@@ -100,18 +107,18 @@
     )
 }
 
-/// A path that the route with this number matches.
+/// Returns a path that the route with this number matches.
 pub fn path(number: u32) -> String {
     let service = number / ROUTES_PER_SERVICE;
     format!("/service-{service:04}/resource-{number:06}/items/17")
 }
 
-/// Ledger key with this number, created at [`START`] plus the number in milliseconds.
+/// Returns the ledger key with this number, created at [`START`] plus the number in milliseconds.
 pub fn ledger_key(number: u32) -> LedgerKey {
     ledger_key_at(number, log_time(number))
 }
 
-/// Ledger key with this number, created at the given time.
+/// Returns the ledger key with this number, created at the given time.
 pub fn ledger_key_at(number: u32, created: Timestamp) -> LedgerKey {
     let mut random = [7; 10];
     random[..4].copy_from_slice(&number.to_be_bytes());
@@ -119,11 +126,11 @@
         idempotency_key: IdempotencyKey::from_parts(created, random),
         account: format!("account-{:06}", number % 400_000)
             .parse()
-            .expect("a name"),
+            .expect("the name is valid"),
     }
 }
 
-/// Log time at which the key with this number is used.
+/// Returns the log time at which the key with this number is used.
 pub fn log_time(number: u32) -> Timestamp {
     START.after(Millis(u64::from(number)))
 }
@@ -132,18 +139,18 @@
     AttemptId {
         vm: format!("entry-{:04}", number % 5_300)
             .parse()
-            .expect("a name"),
+            .expect("the name is valid"),
         boot: 0x9e37_79b9_7f4a_7c15,
         sequence: u64::from(number),
     }
 }
 
-/// The grant of a key.
+/// Returns the command that grants the key with this number.
 pub fn grant(number: u32) -> Command {
     grant_of(ledger_key(number), number, log_time(number))
 }
 
-/// The grant of any key to the attempt with this number.
+/// Returns the command that grants `key` to the attempt with this number.
 pub fn grant_of(key: LedgerKey, number: u32, now: Timestamp) -> Command {
     Command::Grant {
         key,
@@ -154,12 +161,12 @@
     }
 }
 
-/// The conclusion of a key.
+/// Returns the command that concludes the key with this number.
 pub fn conclude(number: u32) -> Command {
     conclude_of(ledger_key(number), number)
 }
 
-/// The conclusion of any key by the attempt with this number.
+/// Returns the command with which the attempt with this number concludes `key`.
 pub fn conclude_of(key: LedgerKey, number: u32) -> Command {
     Command::Conclude {
         key,
--- a/crates/auburnbridge_capacity/src/gossip.rs
+++ b/crates/auburnbridge_capacity/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Cost of announcements: memory, rumours, merging and the comparison of two entries.
+//! Measures announcements: memory, rumours, merging and the comparison of two entries.
 
 use auburnbridge_http::{
     Request as HttpRequest, RequestInfo, Response, Verdict, encode_request, encode_response,
@@ -8,14 +8,15 @@
 use auburnbridge_types::{Millis, Timestamp};
 
 use crate::fixtures::{self, START};
-use crate::measure::{Metric, Report, heap_bytes, nanos_each, nanos_once};
+use crate::measure::{Metric, Report, heap_bytes, nanos_once, nanos_per_call};
 
 const TARGET_SIZES: [u32; 4] = [100, 1_000, 10_000, 54_000];
 const ENTRY_SIZES: [u32; 3] = [100, 1_000, 5_300];
-/// Messages of one comparison; a learner needs more than one comparison.
-const MAX_MESSAGES: usize = 16;
+/// Maximum number of requests in one comparison; a new entry needs more than one comparison to
+/// learn all targets.
+const MAX_REQUESTS: usize = 16;
 const MAX_COMPARISONS: u32 = 64;
-/// Request, reply and acknowledgement, each with IPv4 and TCP headers.
+/// Packets of one exchange: request, reply and acknowledgement, each with IPv4 and TCP headers.
 const HTTP_PACKETS: usize = 3;
 const TCP_HEADER_BYTES: usize = 40;
 
@@ -49,7 +50,7 @@
     Metric {
         id,
         name,
-        of: "targets",
+        size_unit: "targets",
         unit,
     }
 }
@@ -58,7 +59,7 @@
     Metric {
         id,
         name,
-        of: "entries",
+        size_unit: "entries",
         unit,
     }
 }
@@ -92,71 +93,75 @@
 
 pub fn measure(report: &mut Report) {
     for size in TARGET_SIZES {
-        let make = |sequence| {
+        let announcements_at = |sequence| {
             (0..size)
                 .map(|n| fixtures::announcement(n, sequence))
                 .collect()
         };
-        let members: Members = measure_rumours(report, size, &TARGET_METRICS, make, |targets| {
-            Request::Rumours {
-                targets,
-                entries: Vec::new(),
-            }
-        });
+        let members: Members =
+            measure_rumours(report, size, &TARGET_METRICS, announcements_at, |targets| {
+                Request::Rumours {
+                    targets,
+                    entries: Vec::new(),
+                }
+            });
         measure_queue(report, size);
         measure_comparisons(report, size, members);
         report.record(HTTP_BYTES, size, http_bytes(size - 1));
     }
     for size in ENTRY_SIZES {
-        let make = |sequence| {
+        let announcements_at = |sequence| {
             (0..size)
                 .map(|n| fixtures::entry_announcement(n, sequence))
                 .collect()
         };
-        let _: Entries = measure_rumours(report, size, &ENTRY_METRICS, make, |entries| {
-            Request::Rumours {
-                targets: Vec::new(),
-                entries,
-            }
-        });
+        let _: Entries =
+            measure_rumours(report, size, &ENTRY_METRICS, announcements_at, |entries| {
+                Request::Rumours {
+                    targets: Vec::new(),
+                    entries,
+                }
+            });
     }
 }
 
-/// Measures one round in which every sender has a newer announcement; gives the membership.
+/// Measures a round in which every sender has a newer announcement. Returns the membership.
 fn measure_rumours<A: Announced>(
     report: &mut Report,
     size: u32,
     metrics: &RumourMetrics,
-    make: impl Fn(u64) -> Vec<A>,
+    announcements_at: impl Fn(u64) -> Vec<A>,
     request: impl Fn(Vec<A>) -> Request,
 ) -> Membership<A> {
     let (mut membership, bytes) = heap_bytes(|| {
         let mut membership = Membership::default();
-        membership.merge(START, &make(1));
+        membership.merge(START, &announcements_at(1));
         membership
     });
     report.record(metrics.memory, size, bytes);
     let mut sequence = 1;
     let merge_new = {
-        let rounds: Vec<Vec<A>> = (0..repeats(size))
-            .map(|at| make(u64::from(at) + 2))
+        let rounds: Vec<Vec<A>> = (0..rounds_per_batch(size))
+            .map(|round| announcements_at(u64::from(round) + 2))
             .collect();
-        sequence += u64::from(repeats(size));
+        sequence += u64::from(rounds_per_batch(size));
         let ((), nanos) = nanos_once(|| {
             for round in &rounds {
                 membership.merge(START, round);
             }
         });
-        nanos / f64::from(repeats(size))
+        nanos / f64::from(rounds_per_batch(size))
     };
     report.record(metrics.merge_new, size, merge_new / 1e3);
-    let known = make(sequence);
-    let merge_known = nanos_each(|| membership.merge(START, &known).len());
+    let known = announcements_at(sequence);
+    let merge_known = nanos_per_call(|| membership.merge(START, &known).len());
     report.record(metrics.merge_known, size, merge_known / 1e3);
 
-    let encoded = request(known.clone()).encode().expect("it fits");
+    let encoded = request(known.clone())
+        .encode()
+        .expect("the message is within the size limit");
     report.record(metrics.bytes, size, encoded.len() as f64);
-    let encode = nanos_each(|| {
+    let encode = nanos_per_call(|| {
         let mut gossip = Gossip::new(4, 1);
         gossip.push(known.clone());
         request(gossip.take_pending())
@@ -164,13 +169,13 @@
             .map(|body| body.len())
     });
     report.record(metrics.encode, size, encode / 1e3);
-    let decode = nanos_each(|| Request::decode(&encoded).is_ok());
+    let decode = nanos_per_call(|| Request::decode(&encoded).is_ok());
     report.record(metrics.decode, size, decode / 1e3);
     membership
 }
 
-/// Rounds that are merged in one timed batch, so that small rounds take long enough to time.
-fn repeats(size: u32) -> u32 {
+/// Returns the number of rounds merged in one timed batch; small rounds need more to be measurable.
+fn rounds_per_batch(size: u32) -> u32 {
     (200_000 / size).clamp(2, 500)
 }
 
@@ -182,48 +187,61 @@
 }
 
 fn measure_comparisons(report: &mut Report, size: u32, members: Members) {
-    let mut ours = members;
-    let mut theirs = ours.clone();
+    let mut local = members;
+    let mut remote = local.clone();
     let now = START;
-    report.record(TARGET_SAME, size, compare(now, &mut ours, &mut theirs));
-    let expire = nanos_each(|| ours.expire(now));
+    report.record(
+        TARGET_SAME,
+        size,
+        run_comparison(now, &mut local, &mut remote),
+    );
+    let expire = nanos_per_call(|| local.expire(now));
     report.record(TARGET_EXPIRE, size, expire / 1e3);
 
     let mut changed = fixtures::announcement(size / 2, 1_000_000);
     changed.incarnation.0 += 10;
-    theirs.announce(now, changed);
-    let (bytes, nanos) = nanos_once(|| compare(now, &mut ours, &mut theirs));
+    remote.announce(now, changed);
+    let (bytes, nanos) = nanos_once(|| run_comparison(now, &mut local, &mut remote));
     report.record(TARGET_ONE_BYTES, size, bytes);
     report.record(TARGET_ONE_TIME, size, nanos / 1e3);
 
-    let mut learner = Members::default();
+    let mut new_entry = Members::default();
     let mut bytes = 0.0;
     let mut rounds = 0;
-    while learner.len() < ours.len() && rounds < MAX_COMPARISONS {
-        bytes += compare(now.after(Millis(1)), &mut learner, &mut ours);
+    while new_entry.len() < local.len() && rounds < MAX_COMPARISONS {
+        bytes += run_comparison(now.after(Millis(1)), &mut new_entry, &mut local);
         rounds += 1;
     }
-    assert_eq!(learner.len(), ours.len(), "the learner has every target");
+    assert_eq!(
+        new_entry.len(),
+        local.len(),
+        "the new entry has learnt every target"
+    );
     report.record(TARGET_LEARN_BYTES, size, bytes);
     report.record(TARGET_LEARN_ROUNDS, size, f64::from(rounds));
 }
 
-/// Runs one comparison as two entries do, encoded, and gives the bytes of its messages.
-fn compare(now: Timestamp, caller: &mut Members, server: &mut Members) -> f64 {
+/// Runs one comparison between two entries with encoded messages and returns the bytes of the
+/// messages.
+fn run_comparison(now: Timestamp, caller: &mut Members, server: &mut Members) -> f64 {
     let mut bytes = 0;
     let mut message = Some(caller.open_exchange());
-    for _ in 0..MAX_MESSAGES {
+    for _ in 0..MAX_REQUESTS {
         let Some(next) = message.take() else { break };
-        let request = Request::SyncTargets(next).encode().expect("it fits");
+        let request = Request::SyncTargets(next)
+            .encode()
+            .expect("the message is within the size limit");
         bytes += request.len();
         let Ok(Request::SyncTargets(received)) = Request::decode(&request) else {
-            unreachable!("a message decodes to what was encoded")
+            unreachable!("an encoded message decodes to the same variant")
         };
         let (reply, _) = server.exchange(now, received);
-        let reply = Reply::SyncTargets(reply).encode().expect("it fits");
+        let reply = Reply::SyncTargets(reply)
+            .encode()
+            .expect("the message is within the size limit");
         bytes += reply.len();
         let Ok(Reply::SyncTargets(received)) = Reply::decode(&reply) else {
-            unreachable!("a message decodes to what was encoded")
+            unreachable!("an encoded message decodes to the same variant")
         };
         message = received.and_then(|reply| caller.exchange(now, reply).0);
     }
@@ -235,7 +253,7 @@
     request.headers.append("Host", "auburnbridge");
     request.headers.append("Content-Type", "application/json");
     let announcement = fixtures::announcement(number, 1_000);
-    let body = serde_json::to_vec(&announcement).expect("it has an encoding");
+    let body = serde_json::to_vec(&announcement).expect("the announcement can be serialized");
     request.body = body.into();
     let mut encoded = Vec::new();
     encode_request(&request, &mut encoded);
--- a/crates/auburnbridge_capacity/src/http.rs
+++ b/crates/auburnbridge_capacity/src/http.rs
@@ -1,4 +1,4 @@
-//! Cost of the HTTP guard for one exchange of an entry: two messages in, two messages out.
+//! Measures the HTTP codec for one exchange of an entry, which reads two messages and writes two.
 
 use async_std::task;
 use auburnbridge_http::{
@@ -6,7 +6,7 @@
 };
 use futures_lite::io::Cursor;
 
-use crate::measure::{Metric, Report, nanos_each};
+use crate::measure::{Metric, Report, nanos_per_call};
 
 const BODY_SIZES: [u32; 3] = [256, 4_096, 65_536];
 
@@ -19,7 +19,7 @@
     Metric {
         id,
         name,
-        of: "B of body",
+        size_unit: "B of body",
         unit: "µs",
     }
 }
@@ -30,12 +30,12 @@
         let request = request(bytes);
         let mut encoded = Vec::new();
         encode_request(&request, &mut encoded);
-        let read = nanos_each(|| {
+        let read = nanos_per_call(|| {
             let mut connection = Connection::new(Cursor::new(encoded.clone()));
-            task::block_on(connection.read_request(&limits)).expect("it is whole")
+            task::block_on(connection.read_request(&limits)).expect("the message is complete")
         });
         report.record(READ_REQUEST, bytes, read / 1e3);
-        let write = nanos_each(|| {
+        let write = nanos_per_call(|| {
             let mut buf = Vec::new();
             encode_request(&request, &mut buf);
             buf
@@ -46,12 +46,13 @@
         let response = response(bytes);
         let mut encoded = Vec::new();
         encode_response(&response, info, Verdict::Reuse, &mut encoded);
-        let read = nanos_each(|| {
+        let read = nanos_per_call(|| {
             let mut connection = Connection::new(Cursor::new(encoded.clone()));
-            task::block_on(connection.read_response(info, &limits)).expect("it is whole")
+            task::block_on(connection.read_response(info, &limits))
+                .expect("the message is complete")
         });
         report.record(READ_RESPONSE, bytes, read / 1e3);
-        let write = nanos_each(|| {
+        let write = nanos_per_call(|| {
             let mut buf = Vec::new();
             encode_response(&response, info, Verdict::Reuse, &mut buf);
             buf
--- a/crates/auburnbridge_capacity/src/keeper.rs
+++ b/crates/auburnbridge_capacity/src/keeper.rs
@@ -1,7 +1,8 @@
-//! Cost of grants end to end: three keepers in this process, reached over loopback.
+//! Measures grants end to end with three keepers in this process, reached over loopback.
 //!
-//! Each key is granted and concluded, and both commands are synced by a quorum of three real folders
-//! on one disk. Wall time depends on that disk and on other work on the machine.
+//! Each key is granted and concluded. A quorum of three keepers syncs both commands, each keeper to
+//! its own folder on the same disk, so wall time depends on that disk and on other work on the
+//! machine.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
@@ -21,23 +22,23 @@
 use crate::fixtures;
 use crate::measure::{Metric, Report, process_cpu_nanos};
 
-/// Callers that each have one call in flight, and the keys of each.
+/// Number of callers, each with one call in flight, and number of keys per caller.
 const LOADS: [(u32, u32); 3] = [(1, 200), (16, 200), (200, 50)];
 const KEEPERS: u32 = 3;
 const CALL_TIMEOUT: Millis = Millis(5_000);
-const DAY: Millis = Millis(24 * 60 * 60 * 1_000);
-const RETRY_WAIT: Duration = Duration::from_millis(20);
+const KEY_VALIDITY: Millis = Millis(24 * 60 * 60 * 1_000);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 pub const RATE: Metric = metric("K1", "keys granted and concluded, wall time", "keys/s");
 pub const CPU: Metric = metric("K2", "CPU of a key: three keepers and the client", "µs");
 pub const BATCH: Metric = metric("K3", "records per sync of the busiest keeper", "records");
-pub const REFUSED: Metric = metric("K4", "calls that had to be repeated", "%");
+pub const RETRIED_CALLS: Metric = metric("K4", "calls that had to be repeated", "%");
 
 const fn metric(id: &'static str, name: &'static str, unit: &'static str) -> Metric {
     Metric {
         id,
         name,
-        of: "callers",
+        size_unit: "callers",
         unit,
     }
 }
@@ -52,9 +53,9 @@
     let folder = TempDir::new().expect("a temporary folder can be created");
     let (keepers, client) = start_group(folder.path()).await;
     let client = Arc::new(client);
-    // The first key waits until the group has a leader.
-    client.run_key(u32::MAX).await;
-    client.repeated.store(0, Ordering::Relaxed);
+    // The first key is not measured, because it waits until the group has elected a leader.
+    client.grant_and_conclude(u32::MAX).await;
+    client.retries.store(0, Ordering::Relaxed);
 
     let cpu = process_cpu_nanos();
     let start = Instant::now();
@@ -63,7 +64,7 @@
             let client = Arc::clone(&client);
             task::spawn(async move {
                 for number in caller * keys..(caller + 1) * keys {
-                    client.run_key(number).await;
+                    client.grant_and_conclude(number).await;
                 }
             })
         })
@@ -76,8 +77,8 @@
     let count = f64::from(callers * keys);
     report.record(RATE, callers, count / seconds);
     report.record(CPU, callers, cpu / count / 1e3);
-    let repeated = f64::from(client.repeated.load(Ordering::Relaxed));
-    report.record(REFUSED, callers, repeated / (2.0 * count) * 100.0);
+    let retries = f64::from(client.retries.load(Ordering::Relaxed));
+    report.record(RETRIED_CALLS, callers, retries / (2.0 * count) * 100.0);
 
     client.transport.close().await;
     let mut batch: f64 = 0.0;
@@ -90,22 +91,24 @@
 
 async fn start_group(folder: &Path) -> (Vec<Keeper>, Client) {
     let authority = folder.join("authority");
-    let validity = Validity::starting_at(RuntimeClock.now(), DAY);
-    create_authority(&authority, validity).expect("the folder is empty");
+    let validity = Validity::starting_at(RuntimeClock.now(), KEY_VALIDITY);
+    create_authority(&authority, validity).expect("the authority folder can be created");
     let issue_keys = |vm: &str, role| {
         let identity = PeerIdentity {
-            vm: vm.parse().expect("a name"),
+            vm: vm.parse().expect("the VM name is valid"),
             role,
         };
         let own = folder.join(vm);
-        issue(&authority, &own, &identity, validity).expect("the authority signs");
+        issue(&authority, &own, &identity, validity).expect("the authority issues keys");
         own
     };
     let addresses: Vec<PeerAddress> = free_addresses()
         .into_iter()
         .zip(0..)
         .map(|(address, number)| PeerAddress {
-            vm: format!("keeper-{number}").parse().expect("a name"),
+            vm: format!("keeper-{number}")
+                .parse()
+                .expect("the VM name is valid"),
             address,
         })
         .collect();
@@ -126,19 +129,19 @@
         transport: PeerTransport::new(keys, options),
         keepers: addresses,
         leader: AtomicU32::new(0),
-        repeated: AtomicU32::new(0),
+        retries: AtomicU32::new(0),
     };
     (keepers, client)
 }
 
-/// Addresses that are free now; all are bound at the same time, so that no two are the same.
+/// Returns unused addresses. All are bound at the same time, so that they differ.
 fn free_addresses() -> Vec<SocketAddr> {
     let sockets: Vec<UdpSocket> = (0..KEEPERS)
         .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port is free"))
         .collect();
     sockets
         .iter()
-        .map(|socket| socket.local_addr().expect("it is bound"))
+        .map(|socket| socket.local_addr().expect("the socket is bound"))
         .collect()
 }
 
@@ -146,11 +149,11 @@
     transport: PeerTransport,
     keepers: Vec<PeerAddress>,
     leader: AtomicU32,
-    repeated: AtomicU32,
+    retries: AtomicU32,
 }
 
 impl Client {
-    async fn run_key(&self, number: u32) {
+    async fn grant_and_conclude(&self, number: u32) {
         let now = RuntimeClock.now();
         let key = fixtures::ledger_key_at(number, now);
         let granted = self
@@ -161,12 +164,15 @@
         assert_eq!(concluded, LedgerReply::Done, "the attempt holds the key");
     }
 
-    /// Sends a command to the leader, and again to the next keeper until one takes it.
+    /// Sends a command to the presumed leader and retries, at the next keeper unless the reply was
+    /// `Busy`, until a keeper replies with the result.
     async fn call(&self, command: Command) -> LedgerReply {
-        let body = Request::Ledger(command).encode().expect("it fits");
+        let body = Request::Ledger(command)
+            .encode()
+            .expect("the message is within the size limit");
         loop {
-            let at = self.leader.load(Ordering::Relaxed);
-            let keeper = &self.keepers[at as usize];
+            let leader = self.leader.load(Ordering::Relaxed);
+            let keeper = &self.keepers[leader as usize];
             let reply = self
                 .transport
                 .call(keeper, body.clone(), CALL_TIMEOUT)
@@ -176,11 +182,11 @@
             if let Some(Reply::Ledger(reply)) = reply {
                 return reply;
             }
-            self.repeated.fetch_add(1, Ordering::Relaxed);
+            self.retries.fetch_add(1, Ordering::Relaxed);
             if !matches!(reply, Some(Reply::Busy)) {
-                self.leader.store((at + 1) % KEEPERS, Ordering::Relaxed);
+                self.leader.store((leader + 1) % KEEPERS, Ordering::Relaxed);
             }
-            task::sleep(RETRY_WAIT).await;
+            task::sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/crates/auburnbridge_capacity/src/ledger.rs
+++ b/crates/auburnbridge_capacity/src/ledger.rs
@@ -1,15 +1,15 @@
-//! Cost of the ledger: commands, memory and snapshots.
+//! Measures the ledger: commands, memory and snapshots.
 
 use auburnbridge_ledger::{Ledger, Limits, Reply};
 use auburnbridge_types::ByteSize;
 
 use crate::fixtures::{self, log_time};
-use crate::measure::{Metric, Report, heap_bytes, nanos_each, nanos_once};
+use crate::measure::{Metric, Report, heap_bytes, nanos_once, nanos_per_call};
 
 pub const SIZES: [u32; 3] = [1_000, 100_000, 1_000_000];
-/// Keys whose commands are timed.
+/// Maximum number of keys whose commands are timed.
 const MAX_TIMED: u32 = 10_000;
-/// Above the default limits, which the largest size reaches.
+/// Higher than the default limits, which the largest size reaches.
 const LIMITS: Limits = Limits {
     max_records: 4_000_000,
     max_stored: ByteSize(4 << 30),
@@ -25,7 +25,7 @@
     Metric {
         id,
         name,
-        of: "keys",
+        size_unit: "keys",
         unit,
     }
 }
@@ -37,17 +37,21 @@
         report.record(MEMORY, keys, bytes);
         let mut snapshot = ledger.snapshot();
         report.record(SNAPSHOT_BYTES, keys, snapshot.len() as f64);
-        let take = nanos_each(|| snapshot = ledger.snapshot());
+        let take = nanos_per_call(|| snapshot = ledger.snapshot());
         report.record(SNAPSHOT_TIME, keys, take / 1e6);
-        let restore = nanos_each(|| Ledger::restore(&snapshot).expect("it is whole").len());
+        let restore = nanos_per_call(|| {
+            Ledger::restore(&snapshot)
+                .expect("the snapshot is complete")
+                .len()
+        });
         report.record(RESTORE_TIME, keys, restore / 1e6);
     }
 }
 
-/// A ledger with concluded keys, and the nanoseconds that each of the last ones took.
+/// Returns a ledger with `keys` concluded keys and the mean nanoseconds per key of the last ones.
 ///
-/// The commands are timed before any snapshot is restored: memory that was freed in small pieces
-/// makes the allocator's next calls slower, which is no cost of the ledger.
+/// The commands are timed before any snapshot is restored: memory freed in small pieces slows down
+/// later calls of the allocator, which would distort the cost of the ledger.
 fn fill(keys: u32) -> (Ledger, f64) {
     let mut ledger = Ledger::new(LIMITS);
     let timed = MAX_TIMED.min(keys / 2);
--- a/crates/auburnbridge_capacity/src/main.rs
+++ b/crates/auburnbridge_capacity/src/main.rs
@@ -1,12 +1,12 @@
-//! Measures what the crates of auburnbridge cost and works out the design scale from the slopes.
+//! Measures the resource costs of the auburnbridge crates and projects them to the design scale.
 //!
-//! Prints two Markdown tables: the measurements, each with its median and spread over several runs,
-//! and the figures that follow from them at design scale. `docs/CAPACITY.md` explains both. The
+//! The program prints two Markdown tables: the measurements, each with its median and spread over
+//! several runs, and the projections to the design scale. `docs/CAPACITY.md` explains both. The
 //! program is not shipped; `scripts/capacity` builds and runs it.
 
 #![expect(
     clippy::cast_precision_loss,
-    reason = "counts become figures of three significant digits"
+    reason = "counts are printed with three significant digits"
 )]
 
 mod account_limits;
@@ -44,7 +44,7 @@
     only: Option<String>,
 }
 
-/// Takes one sample of each measurement of a group.
+/// Takes one sample of each measurement in a group.
 type Measure = fn(&mut Report);
 
 const GROUPS: [(&str, Measure); 9] = [
@@ -55,7 +55,8 @@
     ("http", http::measure),
     ("store", store::measure),
     ("ledger", ledger::measure),
-    // Last, because its tasks free memory for a while after it, which the heap counter would see.
+    // Runs after the heap measurements, because its tasks continue to free memory for a while after
+    // it ends, which the heap counter would include.
     ("peer", peer::measure),
     ("keeper", keeper::measure),
 ];
@@ -65,8 +66,8 @@
     let mut report = Report::default();
     for run in 1..=arguments.runs {
         for (name, measure) in GROUPS {
-            let is_wanted = arguments.only.as_deref();
-            if is_wanted.is_none_or(|wanted| name.contains(wanted)) {
+            let filter = arguments.only.as_deref();
+            if filter.is_none_or(|part| name.contains(part)) {
                 eprintln!("run {run} of {}: {name}", arguments.runs);
                 measure(&mut report);
             }
--- a/crates/auburnbridge_capacity/src/measure.rs
+++ b/crates/auburnbridge_capacity/src/measure.rs
@@ -1,4 +1,4 @@
-//! Samples of each measurement, their median and spread, and the ways to take them.
+//! Functions that take samples, and a report of their medians and spread.
 
 use std::fs;
 use std::hint::black_box;
@@ -7,18 +7,18 @@
 
 use crate::HEAP;
 
-/// Shortest CPU time of a repeated operation, which averages out the effects of caches.
-const BATCH_NANOS: f64 = 60_000_000.0;
+/// Minimum CPU time of a batch of repeated calls, which averages out cache effects.
+const MIN_BATCH_NANOS: f64 = 60_000_000.0;
 
-/// Measured quantity.
+/// A measured quantity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Metric {
-    /// Short id by which the page refers to it.
+    /// Short id by which `docs/CAPACITY.md` refers to the measurement.
     pub id: &'static str,
-    /// What is measured.
+    /// Description of the measurement.
     pub name: &'static str,
-    /// What the size counts.
-    pub of: &'static str,
+    /// Unit of the size.
+    pub size_unit: &'static str,
     /// Unit of the value.
     pub unit: &'static str,
 }
@@ -48,7 +48,7 @@
     }
 }
 
-/// All samples that were taken.
+/// All samples taken, grouped by metric and size.
 #[derive(Debug, Default)]
 pub struct Report {
     rows: Vec<Row>,
@@ -69,7 +69,7 @@
         });
     }
 
-    /// Median at one size.
+    /// Returns the median at `size`, or NaN if nothing was measured.
     pub fn median(&self, metric: Metric, size: u32) -> f64 {
         self.rows
             .iter()
@@ -77,14 +77,14 @@
             .map_or(f64::NAN, Row::median)
     }
 
-    /// Median per unit of size, at the largest size.
-    pub fn each(&self, metric: Metric) -> f64 {
+    /// Returns the median at the largest size, divided by that size; NaN if nothing was measured.
+    pub fn per_unit(&self, metric: Metric) -> f64 {
         let rows = self.rows_of(metric);
         rows.last()
             .map_or(f64::NAN, |row| row.median() / f64::from(row.size))
     }
 
-    /// Median at the largest size.
+    /// Returns the median at the largest size, or NaN if nothing was measured.
     pub fn largest(&self, metric: Metric) -> f64 {
         self.rows_of(metric)
             .last()
@@ -101,7 +101,7 @@
         rows
     }
 
-    /// Prints all rows as a Markdown table; the last column compares with the size before.
+    /// Prints all rows as a Markdown table; the last column is the ratio to the previous size.
     pub fn print(&self) {
         println!("| id | measurement | size | median | unit | least–most | runs | ratio |");
         println!("|---|---|---:|---:|---|---|---:|---:|");
@@ -111,67 +111,69 @@
                 continue;
             }
             seen.push(row.metric);
-            let mut before: Option<f64> = None;
+            let mut previous: Option<f64> = None;
             for row in self.rows_of(row.metric) {
-                print_row(row, before);
-                before = Some(row.median());
+                print_row(row, previous);
+                previous = Some(row.median());
             }
         }
     }
 }
 
-fn print_row(row: &Row, before: Option<f64>) {
+fn print_row(row: &Row, previous: Option<f64>) {
     let sorted = row.sorted();
     let median = row.median();
-    let ratio = before
-        .filter(|before| *before > 0.0)
-        .map_or("–".to_owned(), |before| format!("{:.2}", median / before));
+    let ratio = previous
+        .filter(|previous| *previous > 0.0)
+        .map_or("–".to_owned(), |previous| {
+            format!("{:.2}", median / previous)
+        });
     println!(
         "| {} | {} | {} {} | {} | {} | {}–{} | {} | {ratio} |",
         row.metric.id,
         row.metric.name,
         row.size,
-        row.metric.of,
-        figure(median),
+        row.metric.size_unit,
+        format_figure(median),
         row.metric.unit,
-        figure(sorted[0]),
-        figure(sorted[sorted.len() - 1]),
+        format_figure(sorted[0]),
+        format_figure(sorted[sorted.len() - 1]),
         sorted.len(),
     );
 }
 
-/// A number with three significant digits.
-pub fn figure(value: f64) -> String {
-    let size = value.abs();
-    if size >= 1e9 {
+/// Formats a number with about three significant digits.
+pub fn format_figure(value: f64) -> String {
+    let magnitude = value.abs();
+    if magnitude >= 1e9 {
         format!("{:.2}e9", value / 1e9)
-    } else if size >= 100.0 {
+    } else if magnitude >= 100.0 {
         format!("{value:.0}")
-    } else if size >= 10.0 {
+    } else if magnitude >= 10.0 {
         format!("{value:.1}")
-    } else if size >= 0.1 {
+    } else if magnitude >= 0.1 {
         format!("{value:.2}")
     } else {
         format!("{value:.4}")
     }
 }
 
-/// CPU time of the calling thread in nanoseconds.
+/// Returns the CPU time of the calling thread in nanoseconds.
 ///
-/// CPU time is taken instead of wall time because other work on the machine does not add to it.
+/// Unlike wall time, CPU time is not increased by other work on the machine.
 fn thread_cpu_nanos() -> f64 {
-    // The kernel adds the time since the last tick of up to 4 ms only when the thread yields.
+    // The kernel accounts for the up to 4 ms since the last tick only when the thread yields.
     thread::yield_now();
     let text = fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let first = text.split_whitespace().next();
     first
         .and_then(|nanos| nanos.parse().ok())
-        .expect("the kernel accounts CPU time per thread")
+        .expect("the kernel provides CPU time per thread")
 }
 
-/// CPU time of all threads of the process in nanoseconds.
+/// Returns the CPU time of all live threads of the process in nanoseconds.
 pub fn process_cpu_nanos() -> f64 {
-    let tasks = fs::read_dir("/proc/self/task").expect("the process lists its threads");
+    let tasks = fs::read_dir("/proc/self/task").expect("the threads of the process can be listed");
     tasks
         .flatten()
         .filter_map(|task| fs::read_to_string(task.path().join("schedstat")).ok())
@@ -179,39 +181,40 @@
         .sum()
 }
 
-/// CPU nanoseconds of one operation; `operation` is called until a batch is long enough.
-pub fn nanos_each<T>(mut operation: impl FnMut() -> T) -> f64 {
+/// Returns the mean CPU nanoseconds per call; `operation` is repeated until the batch takes long
+/// enough.
+pub fn nanos_per_call<T>(mut operation: impl FnMut() -> T) -> f64 {
     let start = thread_cpu_nanos();
-    let mut operations = 0_u32;
+    let mut calls = 0_u32;
     let mut step = 1_u32;
     loop {
         for _ in 0..step {
             black_box(operation());
         }
-        operations += step;
+        calls += step;
         let spent = thread_cpu_nanos() - start;
-        if spent >= BATCH_NANOS {
-            return spent / f64::from(operations);
+        if spent >= MIN_BATCH_NANOS {
+            return spent / f64::from(calls);
         }
         step = step.saturating_mul(2).min(1 << 16);
     }
 }
 
-/// CPU nanoseconds of one call that can't be repeated.
+/// Returns the result and CPU nanoseconds of a single call, for operations that can't be repeated.
 pub fn nanos_once<T>(operation: impl FnOnce() -> T) -> (T, f64) {
     let start = thread_cpu_nanos();
     let result = operation();
     (result, thread_cpu_nanos() - start)
 }
 
-/// Wall time of one call in seconds, for work that waits for a disk or a socket.
+/// Returns the result and wall time in seconds of one call, for work that waits for I/O.
 pub fn wall_seconds<T>(operation: impl FnOnce() -> T) -> (T, f64) {
     let start = Instant::now();
     let result = operation();
     (result, start.elapsed().as_secs_f64())
 }
 
-/// Heap bytes that the result of `build` holds, without the allocator's own overhead.
+/// Returns the result of `build` and the heap bytes that it holds, without allocator overhead.
 pub fn heap_bytes<T>(build: impl FnOnce() -> T) -> (T, f64) {
     let before = HEAP.stats();
     let result = build();
--- a/crates/auburnbridge_capacity/src/peer.rs
+++ b/crates/auburnbridge_capacity/src/peer.rs
@@ -1,7 +1,7 @@
-//! Cost of the transport: bytes of idle connections, handshakes, calls and one-way messages.
+//! Measures the transport: idle connections, handshakes, calls and one-way messages.
 //!
-//! A forwarding socket between client and server counts the UDP payloads. Each packet costs another
-//! 28 bytes of IPv4 and UDP headers, which are added.
+//! A forwarder between client and server counts the UDP payloads and adds 28 bytes of IPv4 and UDP
+//! headers per packet.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,8 +26,8 @@
 const CALLS: u32 = 200;
 const CALLERS: u32 = 16;
 const CALL_TIMEOUT: Millis = Millis(10_000);
-const DAY: Millis = Millis(24 * 60 * 60 * 1_000);
-const PACKET_BYTES: usize = 65_536;
+const KEY_VALIDITY: Millis = Millis(24 * 60 * 60 * 1_000);
+const MAX_PACKET_BYTES: usize = 65_536;
 const HEADER_BYTES: u64 = 28;
 
 pub const IDLE: Metric = connections("P1", "idle, both directions together", "B/s");
@@ -46,7 +46,7 @@
     Metric {
         id,
         name,
-        of: "connections",
+        size_unit: "connections",
         unit,
     }
 }
@@ -55,7 +55,7 @@
     Metric {
         id,
         name,
-        of: "B of body",
+        size_unit: "B of body",
         unit,
     }
 }
@@ -80,58 +80,66 @@
 }
 
 async fn measure_connections(report: &mut Report, count: u32) {
-    let link = Link::start(count).await;
+    let network = MeasuredNetwork::start(count).await;
     let before = process_cpu_nanos();
-    for peer in &link.peers {
-        link.call(peer, vec![0; 64]).await;
+    for peer in &network.peers {
+        network.call(peer, vec![0; 64]).await;
     }
     let cpu = process_cpu_nanos() - before;
     report.record(HANDSHAKE_CPU, count, cpu / 1e3);
-    // Packets that complete the handshake may follow the first reply.
+    // Packets that complete the handshake may arrive after the first reply.
     task::sleep(Duration::from_millis(300)).await;
-    let connected = link.bytes();
+    let connected = network.forwarded_bytes();
     report.record(HANDSHAKE, count, connected);
     task::sleep(Duration::from_secs(IDLE_SECONDS.into())).await;
-    let idle = (link.bytes() - connected) / f64::from(IDLE_SECONDS);
+    let idle = (network.forwarded_bytes() - connected) / f64::from(IDLE_SECONDS);
     report.record(IDLE, count, idle);
-    link.close().await;
+    network.close().await;
 }
 
 async fn measure_bodies(report: &mut Report, bytes: u32) {
-    let link = Link::start(1).await;
+    let network = MeasuredNetwork::start(1).await;
     let body = vec![7; bytes as usize];
-    let peer = &link.peers[0];
-    link.call(peer, body.clone()).await;
-    let (before, cpu) = (link.bytes(), process_cpu_nanos());
+    let peer = &network.peers[0];
+    network.call(peer, body.clone()).await;
+    let (before, cpu) = (network.forwarded_bytes(), process_cpu_nanos());
     let start = Instant::now();
     for _ in 0..CALLS {
-        link.call(peer, body.clone()).await;
+        network.call(peer, body.clone()).await;
     }
     let seconds = start.elapsed().as_secs_f64();
     let calls = f64::from(CALLS);
-    report.record(CALL_BYTES, bytes, (link.bytes() - before) / calls);
+    report.record(
+        CALL_BYTES,
+        bytes,
+        (network.forwarded_bytes() - before) / calls,
+    );
     report.record(CALL_CPU, bytes, (process_cpu_nanos() - cpu) / calls / 1e3);
     report.record(CALL_RATE, bytes, calls / seconds);
 
-    measure_parallel(report, &link, &body).await;
+    measure_parallel(report, &network, &body).await;
 
-    let before = link.bytes();
+    let before = network.forwarded_bytes();
     for _ in 0..CALLS {
-        link.transport.send(peer, body.clone());
+        network.transport.send(peer, body.clone());
         task::sleep(Duration::from_millis(5)).await;
     }
     task::sleep(Duration::from_millis(200)).await;
-    report.record(MESSAGE_BYTES, bytes, (link.bytes() - before) / calls);
-    link.close().await;
+    report.record(
+        MESSAGE_BYTES,
+        bytes,
+        (network.forwarded_bytes() - before) / calls,
+    );
+    network.close().await;
 }
 
-async fn measure_parallel(report: &mut Report, link: &Link, body: &[u8]) {
+async fn measure_parallel(report: &mut Report, network: &MeasuredNetwork, body: &[u8]) {
     let cpu = process_cpu_nanos();
     let start = Instant::now();
     let callers: Vec<_> = (0..CALLERS)
         .map(|_| {
-            let transport = Arc::clone(&link.transport);
-            let (peer, body) = (link.peers[0].clone(), body.to_vec());
+            let transport = Arc::clone(&network.transport);
+            let (peer, body) = (network.peers[0].clone(), body.to_vec());
             task::spawn(async move {
                 for _ in 0..CALLS {
                     let reply = transport.call(&peer, body.clone(), CALL_TIMEOUT).await;
@@ -145,14 +153,14 @@
     }
     let seconds = start.elapsed().as_secs_f64();
     let calls = f64::from(CALLS * CALLERS);
-    let bytes = u32::try_from(body.len()).expect("the sizes are small");
+    let bytes = u32::try_from(body.len()).expect("the body size fits into u32");
     report.record(PARALLEL_RATE, bytes, calls / seconds);
     let cpu = process_cpu_nanos() - cpu;
     report.record(PARALLEL_CPU, bytes, cpu / calls / 1e3);
 }
 
-/// A client with connections to several servers, each through a counting forwarder.
-struct Link {
+/// A client connected to several servers, each through a forwarder that counts bytes.
+struct MeasuredNetwork {
     transport: Arc<PeerTransport>,
     peers: Vec<PeerAddress>,
     servers: Vec<PeerServer>,
@@ -160,25 +168,25 @@
     forwarders: Vec<task::JoinHandle<()>>,
 }
 
-impl Link {
+impl MeasuredNetwork {
     async fn start(count: u32) -> Self {
         let folder = TempDir::new().expect("a temporary folder can be created");
-        let validity = Validity::starting_at(RuntimeClock.now(), DAY);
+        let validity = Validity::starting_at(RuntimeClock.now(), KEY_VALIDITY);
         let authority = folder.path().join("authority");
-        create_authority(&authority, validity).expect("the folder is empty");
+        create_authority(&authority, validity).expect("the authority folder can be created");
         let keys = |vm: &str| {
             let identity = PeerIdentity {
-                vm: vm.parse().expect("a name"),
+                vm: vm.parse().expect("the VM name is valid"),
                 role: Role::Entry,
             };
             let own = folder.path().join(vm);
-            issue(&authority, &own, &identity, validity).expect("the authority signs");
+            issue(&authority, &own, &identity, validity).expect("the authority issues keys");
             KeyRing::load(&own, RuntimeClock.now()).expect("the keys are valid")
         };
         let options = Options::default();
         let forwarded = Arc::new(AtomicU64::new(0));
         let transport = Arc::new(PeerTransport::new(keys("client"), options.clone()));
-        let mut link = Self {
+        let mut network = Self {
             transport,
             peers: Vec::new(),
             servers: Vec::new(),
@@ -189,16 +197,16 @@
             let vm = format!("server-{number}");
             let server = PeerServer::bind(loopback(), keys(&vm), Arc::new(Echo), options.clone())
                 .expect("a port is free");
-            let front = UdpSocket::bind(loopback()).await.expect("a port is free");
-            link.peers.push(PeerAddress {
-                vm: vm.parse().expect("a name"),
-                address: front.local_addr().expect("it is bound"),
+            let client_side = UdpSocket::bind(loopback()).await.expect("a port is free");
+            network.peers.push(PeerAddress {
+                vm: vm.parse().expect("the VM name is valid"),
+                address: client_side.local_addr().expect("the socket is bound"),
             });
-            let forwarding = forward(front, server.address(), Arc::clone(&forwarded));
-            link.forwarders.push(task::spawn(forwarding));
-            link.servers.push(server);
+            let forwarding = forward(client_side, server.address(), Arc::clone(&forwarded));
+            network.forwarders.push(task::spawn(forwarding));
+            network.servers.push(server);
         }
-        link
+        network
     }
 
     async fn call(&self, peer: &PeerAddress, body: Vec<u8>) {
@@ -206,7 +214,7 @@
         reply.expect("the server echoes the body");
     }
 
-    fn bytes(&self) -> f64 {
+    fn forwarded_bytes(&self) -> f64 {
         self.forwarded.load(Ordering::Relaxed) as f64
     }
 
@@ -221,29 +229,37 @@
     }
 }
 
-/// Forwards packets between one client and the server, and counts their bytes.
-async fn forward(front: UdpSocket, server: SocketAddr, forwarded: Arc<AtomicU64>) {
-    let back = UdpSocket::bind(loopback()).await.expect("a port is free");
-    back.connect(server).await.expect("the address is local");
+/// Forwards packets between one client and a server and counts their bytes.
+async fn forward(client_side: UdpSocket, server: SocketAddr, forwarded: Arc<AtomicU64>) {
+    let server_side = UdpSocket::bind(loopback()).await.expect("a port is free");
+    server_side
+        .connect(server)
+        .await
+        .expect("the address is local");
     let count = |size: usize| {
         forwarded.fetch_add(size as u64 + HEADER_BYTES, Ordering::Relaxed);
     };
     let mut client = None;
-    let mut request = vec![0; PACKET_BYTES];
-    let mut reply = vec![0; PACKET_BYTES];
+    let mut request = vec![0; MAX_PACKET_BYTES];
+    let mut reply = vec![0; MAX_PACKET_BYTES];
     loop {
-        let to_server = async { front.recv_from(&mut request).await.map(Packet::ToServer) };
-        let to_client = async { back.recv(&mut reply).await.map(Packet::ToClient) };
+        let to_server = async {
+            client_side
+                .recv_from(&mut request)
+                .await
+                .map(Packet::ToServer)
+        };
+        let to_client = async { server_side.recv(&mut reply).await.map(Packet::ToClient) };
         match (future::or(to_server, to_client).await, client) {
             (Ok(Packet::ToServer((size, from))), _) => {
                 client = Some(from);
                 count(size);
-                // A lost packet is sent again by the transport.
-                let _ = back.send(&request[..size]).await;
+                // The transport retransmits lost packets.
+                let _ = server_side.send(&request[..size]).await;
             }
             (Ok(Packet::ToClient(size)), Some(client)) => {
                 count(size);
-                let _ = front.send_to(&reply[..size], client).await;
+                let _ = client_side.send_to(&reply[..size], client).await;
             }
             (Ok(Packet::ToClient(_)), None) | (Err(_), _) => return,
         }
--- a/crates/auburnbridge_capacity/src/projection.rs
+++ b/crates/auburnbridge_capacity/src/projection.rs
@@ -1,13 +1,13 @@
-//! The design scale, worked out from the measured costs of one unit.
+//! Projections to the design scale from the measured cost per unit.
 //!
-//! Bytes per second are those that a node sends; in gossip it receives as many again. MB and KB are
-//! decimal, and heap figures leave out the allocator's own overhead.
+//! Bytes per second count what a node sends; in gossip it receives the same amount. MB and KB are
+//! decimal, and heap figures exclude allocator overhead.
 
 use crate::design_scale as scale;
-use crate::measure::{Report, figure};
+use crate::measure::{Report, format_figure};
 use crate::{account_limits, choice, gossip, http, keeper, ledger, peer, rules, store};
 
-/// Prints all figures as a Markdown table.
+/// Prints all projections as Markdown tables.
 pub fn print(report: &Report) {
     println!();
     println!("| id | figure | value | unit | from | limit | within |");
@@ -15,7 +15,7 @@
     print_gossip(report);
     print_connections(report);
     print_subsets(report);
-    print_tree(report);
+    print_relay_tree(report);
     print_changes(report);
     print_restarts(report);
     print_entry(report);
@@ -25,26 +25,27 @@
 fn row(id: &str, name: &str, value: f64, unit: &str, from: &str) {
     println!(
         "| {id} | {name} | {} | {unit} | {from} | – | – |",
-        figure(value)
+        format_figure(value)
     );
 }
 
-/// A figure that a limit bounds from above.
+/// Prints a figure with its upper limit.
 fn bounded(id: &str, name: &str, value: f64, unit: &str, from: &str, limit: f64) {
     let verdict = if value <= limit { "yes" } else { "**no**" };
     println!(
         "| {id} | {name} | {} | {unit} | {from} | {} | {verdict} |",
-        figure(value),
-        figure(limit)
+        format_figure(value),
+        format_figure(limit)
     );
 }
 
-/// Bytes that a one-way message costs beside its body, with its share of acknowledgements.
+/// Returns the bytes of a one-way message besides its body, with its share of acknowledgements.
 fn message_overhead(report: &Report) -> f64 {
     report.median(peer::MESSAGE_BYTES, 64) - 64.0
 }
 
-/// CPU of a node that sends a byte and receives another, from an echoed body.
+/// Returns the CPU microseconds for sending one byte and receiving another, measured with an echoed
+/// body.
 fn transport_micros_per_byte(report: &Report) -> f64 {
     report.median(peer::PARALLEL_CPU, 16_384) / (2.0 * 16_384.0)
 }
@@ -71,8 +72,8 @@
         let heartbeats = entries * scale::ROUNDS_PER_SECOND;
         let messages = scale::FANOUT * scale::ROUNDS_PER_SECOND;
         let bytes = scale::FANOUT
-            * (targets * report.each(gossip::TARGET_RUMOUR_BYTES)
-                + heartbeats * report.each(gossip::ENTRY_RUMOUR_BYTES))
+            * (targets * report.per_unit(gossip::TARGET_RUMOUR_BYTES)
+                + heartbeats * report.per_unit(gossip::ENTRY_RUMOUR_BYTES))
             + messages * message_overhead(report);
         bounded(
             &format!("CG{number}a"),
@@ -80,7 +81,7 @@
             bytes,
             "B/s",
             "G2 E2 P7",
-            scale::WIRE_LIMIT,
+            scale::SEND_LIMIT_BYTES_PER_SECOND,
         );
         let transport = messages * report.median(peer::PARALLEL_CPU, 64)
             + bytes * transport_micros_per_byte(report);
@@ -119,27 +120,30 @@
     }
 }
 
-/// CPU per announcement of a target that reaches an entry four times and is sent on once.
+/// Returns the CPU microseconds per target announcement, which an entry receives four times and
+/// forwards once.
 fn target_micros(report: &Report) -> f64 {
-    report.each(gossip::TARGET_ENCODE)
-        + scale::FANOUT * report.each(gossip::TARGET_DECODE)
-        + report.each(gossip::TARGET_MERGE_NEW)
-        + (scale::FANOUT - 1.0) * report.each(gossip::TARGET_MERGE_KNOWN)
+    report.per_unit(gossip::TARGET_ENCODE)
+        + scale::FANOUT * report.per_unit(gossip::TARGET_DECODE)
+        + report.per_unit(gossip::TARGET_MERGE_NEW)
+        + (scale::FANOUT - 1.0) * report.per_unit(gossip::TARGET_MERGE_KNOWN)
 }
 
+/// Returns the CPU microseconds per entry announcement, received and forwarded as those of targets.
 fn entry_micros(report: &Report) -> f64 {
-    report.each(gossip::ENTRY_ENCODE)
-        + scale::FANOUT * report.each(gossip::ENTRY_DECODE)
-        + report.each(gossip::ENTRY_MERGE_NEW)
-        + (scale::FANOUT - 1.0) * report.each(gossip::ENTRY_MERGE_KNOWN)
+    report.per_unit(gossip::ENTRY_ENCODE)
+        + scale::FANOUT * report.per_unit(gossip::ENTRY_DECODE)
+        + report.per_unit(gossip::ENTRY_MERGE_NEW)
+        + (scale::FANOUT - 1.0) * report.per_unit(gossip::ENTRY_MERGE_KNOWN)
 }
 
+/// Converts CPU microseconds per second to a percentage of one core.
 fn percent(micros_per_second: f64) -> f64 {
     micros_per_second / 1e4
 }
 
 fn print_connections(report: &Report) {
-    let idle = report.each(peer::IDLE);
+    let idle = report.per_unit(peer::IDLE);
     row(
         "CP1",
         "an idle connection, both directions",
@@ -150,7 +154,7 @@
     row(
         "CP2",
         "idle connections that fill the limit",
-        scale::WIRE_LIMIT / idle,
+        scale::SEND_LIMIT_BYTES_PER_SECOND / idle,
         "",
         "CP1",
     );
@@ -161,7 +165,7 @@
         mesh * idle,
         "B/s",
         "CP1",
-        scale::WIRE_LIMIT,
+        scale::SEND_LIMIT_BYTES_PER_SECOND,
     );
     let poll = report.median(peer::CALL_BYTES, 64);
     bounded(
@@ -170,7 +174,7 @@
         scale::POLLS_PER_SECOND * poll,
         "B/s",
         "P4",
-        scale::WIRE_LIMIT,
+        scale::SEND_LIMIT_BYTES_PER_SECOND,
     );
     let calls = scale::NODES * scale::POLLS_PER_SECOND;
     row(
@@ -205,7 +209,7 @@
         held * announcement,
         "B/s",
         "G14",
-        scale::WIRE_LIMIT,
+        scale::SEND_LIMIT_BYTES_PER_SECOND,
     );
     let leases = scale::TARGETS * scale::LEASE_HOLDERS / scale::NODES;
     bounded(
@@ -214,7 +218,7 @@
         leases * announcement,
         "B/s",
         "G14",
-        scale::WIRE_LIMIT,
+        scale::SEND_LIMIT_BYTES_PER_SECOND,
     );
     bounded(
         "CS5",
@@ -222,7 +226,7 @@
         leases * announcement / scale::RENEWAL_SECONDS,
         "B/s",
         "G14",
-        scale::WIRE_LIMIT,
+        scale::SEND_LIMIT_BYTES_PER_SECOND,
     );
     bounded(
         "CS6",
@@ -234,7 +238,7 @@
     );
 }
 
-/// Hops from a keeper to the farthest node.
+/// Returns the number of hops from a keeper to the farthest node.
 fn hops(children: f64) -> f64 {
     let mut level = scale::FIRST_RELAYS;
     let mut nodes = 0.0;
@@ -247,14 +251,14 @@
     count
 }
 
-fn print_tree(report: &Report) {
-    let change = report.each(gossip::TARGET_RUMOUR_BYTES) + message_overhead(report);
+fn print_relay_tree(report: &Report) {
+    let change = report.per_unit(gossip::TARGET_RUMOUR_BYTES) + message_overhead(report);
     let targets = scale::TARGET_CHANGES_PER_DAY / scale::SECONDS_PER_DAY * change;
     let local = targets / scale::DATA_CENTRES;
     let delta = report.largest(rules::DELTA_BYTES) + message_overhead(report);
     let rules = scale::CHANGES_PER_DAY / scale::SECONDS_PER_DAY * delta;
-    let idle = report.each(peer::IDLE);
-    let kept_alive = idle / scale::KEEP_ALIVE_SECONDS;
+    let idle = report.per_unit(peer::IDLE);
+    let keep_alives = idle / scale::KEEP_ALIVE_SECONDS;
     let poll = report.median(peer::CALL_BYTES, 64);
     row(
         "CT1",
@@ -274,11 +278,20 @@
     row(
         "CT4",
         "a link: keep-alives each 10 s, if bytes follow them",
-        kept_alive,
+        keep_alives,
         "B/s",
         "P1",
     );
-    let relay = |id, name, bytes, from| bounded(id, name, bytes, "B/s", from, scale::WIRE_LIMIT);
+    let relay = |id, name, bytes, from| {
+        bounded(
+            id,
+            name,
+            bytes,
+            "B/s",
+            from,
+            scale::SEND_LIMIT_BYTES_PER_SECOND,
+        );
+    };
     let children = scale::CHILDREN;
     relay(
         "CT5",
@@ -301,8 +314,8 @@
         "CR2",
     );
     let own = leases_bytes(report) + whole;
-    let fleet = targets + rules + kept_alive;
-    let in_data_centre = local + rules + kept_alive;
+    let fleet = targets + rules + keep_alives;
+    let in_data_centre = local + rules + keep_alives;
     relay(
         "CT8",
         "leaf: CT1, CT3, CT4, leases (CS5), own downloads",
@@ -315,25 +328,26 @@
         in_data_centre + own,
         "CS5 CR2",
     );
-    let room = |link: f64| ((scale::WIRE_LIMIT - own - link) / link).floor();
+    let child_capacity =
+        |link: f64| ((scale::SEND_LIMIT_BYTES_PER_SECOND - own - link) / link).floor();
     row(
         "CT10",
         "children that fit beside CT8",
-        room(fleet),
+        child_capacity(fleet),
         "",
         "CT8",
     );
     row(
         "CT11",
         "children that fit beside CT9",
-        room(in_data_centre),
+        child_capacity(in_data_centre),
         "",
         "CT9",
     );
     row(
         "CT12",
         "hops to the farthest node with the children of CT11",
-        hops(room(in_data_centre)),
+        hops(child_capacity(in_data_centre)),
         "",
         "CT11",
     );
@@ -371,14 +385,15 @@
         "20 children",
     );
     for (id, interval) in [("CC4", 0.5), ("CC5", 1.0), ("CC6", 2.0)] {
-        let seconds = hops(scale::CHILDREN) * (interval + scale::REGION_LATENCY * 2.0 + apply);
+        let seconds =
+            hops(scale::CHILDREN) * (interval + scale::REGION_LATENCY_SECONDS * 2.0 + apply);
         bounded(
             &format!("{id}a"),
             &format!("time until a change is in force, a delta at most each {interval} s"),
             seconds,
             "s",
             "CC3 R6",
-            scale::CHANGE_LIMIT,
+            scale::CHANGE_LIMIT_SECONDS,
         );
         bounded(
             &format!("{id}b"),
@@ -389,8 +404,8 @@
             scale::CPU_LIMIT_PERCENT,
         );
     }
-    let budget =
-        scale::CHANGE_LIMIT - hops(scale::CHILDREN) * (1.0 + scale::REGION_LATENCY * 2.0 + apply);
+    let budget = scale::CHANGE_LIMIT_SECONDS
+        - hops(scale::CHILDREN) * (1.0 + scale::REGION_LATENCY_SECONDS * 2.0 + apply);
     row(
         "CC7",
         "edits at once that a keeper applies in the rest of the 10 s, deltas each 1 s",
@@ -538,9 +553,9 @@
 }
 
 fn print_ledger(report: &Report) {
-    let heap = report.each(ledger::MEMORY);
-    let snapshot = report.each(ledger::SNAPSHOT_BYTES);
-    let disk = report.each(store::DISK);
+    let heap = report.per_unit(ledger::MEMORY);
+    let snapshot = report.per_unit(ledger::SNAPSHOT_BYTES);
+    let disk = report.per_unit(store::DISK);
     row(
         "CL1",
         "heap of one key with an answer of 256 B",
@@ -576,7 +591,7 @@
     row(
         "CL6",
         "keys whose snapshot takes the shortest election timeout, CPU alone",
-        scale::ELECTION_MS / snapshot_ms,
+        scale::ELECTION_TIMEOUT_MS / snapshot_ms,
         "keys",
         "L4",
     );
@@ -599,14 +614,15 @@
     }
 }
 
-/// Prints the ledger for one share of keyed requests; snapshot figures are those of one replica.
+/// Prints the ledger projection for one share of keyed requests and one retention; snapshot figures
+/// are per replica.
 fn print_retention(report: &Report, share: f64, name: &str, seconds: f64) {
     let rate = share * scale::REQUESTS_PER_SECOND;
     let keys = rate * seconds;
     let groups_by_rate = rate / report.largest(keeper::RATE);
     let groups = (keys / scale::KEYS_PER_GROUP).max(groups_by_rate).ceil();
-    let heap = keys * report.each(ledger::MEMORY) * scale::REPLICAS / 1e9;
-    let snapshots = rate / groups * 2.0 / scale::SNAPSHOT_EVERY;
+    let heap = keys * report.per_unit(ledger::MEMORY) * scale::REPLICAS / 1e9;
+    let snapshots = rate / groups * 2.0 / scale::RECORDS_PER_SNAPSHOT;
     let cores = rate * report.largest(keeper::CPU) / 1e6;
     let vms = (heap / scale::KEEPER_HEAP_GB).ceil().max(scale::REPLICAS);
     let fits = vms + scale::FIRST_RELAYS <= scale::DEDICATED_VMS;
@@ -614,12 +630,12 @@
     println!(
         "| {}% | {name} | {} | {} | {} | {} | {vms} | {verdict} | {} | {} | {} |",
         share * 100.0,
-        figure(rate),
-        figure(keys),
+        format_figure(rate),
+        format_figure(keys),
         groups,
-        figure(heap),
-        figure(cores),
-        figure(snapshots * report.largest(ledger::SNAPSHOT_TIME) / 10.0),
-        figure(snapshots * report.largest(ledger::SNAPSHOT_BYTES) / 1e6),
+        format_figure(heap),
+        format_figure(cores),
+        format_figure(snapshots * report.largest(ledger::SNAPSHOT_TIME) / 10.0),
+        format_figure(snapshots * report.largest(ledger::SNAPSHOT_BYTES) / 1e6),
     );
 }
--- a/crates/auburnbridge_capacity/src/rules.rs
+++ b/crates/auburnbridge_capacity/src/rules.rs
@@ -1,4 +1,4 @@
-//! Cost of the rules: parsing, memory, lookup, and a change of one line.
+//! Measures the rules: parsing, memory, lookup, and changes of one line.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use auburnbridge_types::{IdempotencyKey, Revision, Timestamp};
 
 use crate::fixtures::{self, START};
-use crate::measure::{Metric, Report, heap_bytes, nanos_each, nanos_once};
+use crate::measure::{Metric, Report, heap_bytes, nanos_once, nanos_per_call};
 
 pub const SIZES: [u32; 3] = [1_000, 10_000, 86_000];
 const LINES: &str = "lines";
@@ -29,13 +29,13 @@
     "B",
 );
 
-const BATCH: u32 = 100;
+const BATCH_LINES: u32 = 100;
 
 const fn metric(id: &'static str, name: &'static str, unit: &'static str) -> Metric {
     Metric {
         id,
         name,
-        of: LINES,
+        size_unit: LINES,
         unit,
     }
 }
@@ -48,10 +48,10 @@
 
 fn measure_size(report: &mut Report, lines: u32) {
     let text = fixtures::rules_text(lines);
-    report.record(TEXT, lines, size(text.len()));
+    report.record(TEXT, lines, as_f64(text.len()));
     let (rules, bytes) = heap_bytes(|| Rules::parse(&text).expect("the rules are valid"));
     report.record(MEMORY, lines, bytes);
-    report.record(PARSE, lines, nanos_each(|| Rules::parse(&text)) / 1e3);
+    report.record(PARSE, lines, nanos_per_call(|| Rules::parse(&text)) / 1e3);
     report.record(LOOKUP, lines, lookup_nanos(&rules, lines) / 1e3);
     drop(rules);
     measure_changes(report, lines, text);
@@ -61,10 +61,10 @@
     let paths: Vec<String> = (0..1_000)
         .map(|number| fixtures::path(number * 7_919 % lines))
         .collect();
-    let mut at = 0;
-    nanos_each(|| {
-        at = (at + 1) % paths.len();
-        rules.route(Method::Get, &paths[at]).is_some()
+    let mut index = 0;
+    nanos_per_call(|| {
+        index = (index + 1) % paths.len();
+        rules.route(Method::Get, &paths[index]).is_some()
     })
 }
 
@@ -72,45 +72,64 @@
     let mut config = Config::default();
     apply(&mut config, 0, Change::ReplaceAll(text));
     let mut copy = RulesCopy::default();
-    copy.apply_delta(&config.whole()).expect("it is valid");
-    let whole = Reply::Rules(config.whole()).encode().expect("it fits");
-    report.record(WHOLE_BYTES, lines, size(whole.len()));
+    copy.apply_delta(&config.whole())
+        .expect("the rules are valid");
+    let whole = Reply::Rules(config.whole())
+        .encode()
+        .expect("the reply is within the size limit");
+    report.record(WHOLE_BYTES, lines, as_f64(whole.len()));
 
     let ((), edit) = nanos_once(|| {
-        for number in 1..=BATCH {
+        for number in 1..=BATCH_LINES {
             apply(&mut config, number, change(number, lines));
         }
     });
-    report.record(EDIT, lines, edit / f64::from(BATCH) / 1e3);
+    report.record(EDIT, lines, edit / f64::from(BATCH_LINES) / 1e3);
 
     let batch = config.delta_since(copy.revision());
     let mut batch_copy = copy.clone();
-    let (_, batch_nanos) = nanos_once(|| batch_copy.apply_delta(&batch).expect("it fits"));
+    let (_, batch_nanos) = nanos_once(|| {
+        batch_copy
+            .apply_delta(&batch)
+            .expect("the delta follows the copy's revision")
+    });
     report.record(APPLY_BATCH, lines, batch_nanos / 1e3);
 
     let deltas = single_deltas(&config, lines);
-    let one = Reply::Rules(deltas[0].clone()).encode().expect("it fits");
-    report.record(DELTA_BYTES, lines, size(one.len()));
+    let one = Reply::Rules(deltas[0].clone())
+        .encode()
+        .expect("the reply is within the size limit");
+    report.record(DELTA_BYTES, lines, as_f64(one.len()));
     let old = Arc::clone(batch_copy.rules());
-    let (_, kept) = heap_bytes(|| batch_copy.apply_delta(&deltas[0]).expect("it fits"));
+    let (_, kept) = heap_bytes(|| {
+        batch_copy
+            .apply_delta(&deltas[0])
+            .expect("the delta follows the copy's revision")
+    });
     report.record(PEAK, lines, kept);
     drop(old);
     let ((), apply) = nanos_once(|| {
         for delta in &deltas[1..] {
-            batch_copy.apply_delta(delta).expect("it fits");
+            batch_copy
+                .apply_delta(delta)
+                .expect("the delta follows the copy's revision");
         }
     });
-    report.record(APPLY, lines, apply / size(deltas.len() - 1) / 1e3);
+    report.record(APPLY, lines, apply / as_f64(deltas.len() - 1) / 1e3);
     report.record(POLL_BYTES, lines, poll_bytes(batch_copy.revision()));
 }
 
-/// Deltas of one line each, which follow on the revision of `config`.
+/// Returns consecutive deltas of one line each, starting at the revision of `config`.
 fn single_deltas(config: &Config, lines: u32) -> Vec<Delta> {
     let mut config = config.clone();
     (1..=21)
         .map(|number| {
             let have = config.revision();
-            apply(&mut config, BATCH + number, change(BATCH + number, lines));
+            apply(
+                &mut config,
+                BATCH_LINES + number,
+                change(BATCH_LINES + number, lines),
+            );
             config.delta_since(have)
         })
         .collect()
@@ -135,7 +154,7 @@
     random[..4].copy_from_slice(&number.to_be_bytes());
     let edit = Edit {
         id: EditId::from(IdempotencyKey::from_parts(now, random)),
-        author: "Meera, ward office".parse().expect("a name"),
+        author: "Meera, ward office".parse().expect("the name is valid"),
         expected: None,
         change,
     };
@@ -149,14 +168,16 @@
 fn poll_bytes(revision: Revision) -> f64 {
     let request = Request::FetchRules {
         have: revision,
-        data_centre: "region-1-dc-1".parse().expect("a name"),
+        data_centre: "region-1-dc-1".parse().expect("the name is valid"),
     };
     let reply = Reply::Rules(Delta::Current { revision });
-    let request = request.encode().expect("it fits");
-    let reply = reply.encode().expect("it fits");
-    size(request.len() + reply.len())
+    let request = request
+        .encode()
+        .expect("the request is within the size limit");
+    let reply = reply.encode().expect("the reply is within the size limit");
+    as_f64(request.len() + reply.len())
 }
 
-fn size(count: usize) -> f64 {
+fn as_f64(count: usize) -> f64 {
     count as f64
 }
--- a/crates/auburnbridge_capacity/src/store.rs
+++ b/crates/auburnbridge_capacity/src/store.rs
@@ -1,6 +1,6 @@
-//! Cost of the durable log: syncs, bytes on disk and recovery, in a real folder.
+//! Measures the durable log: syncs, bytes on disk and recovery, in a real folder.
 //!
-//! The folder lies in the system's temporary folder; set `TMPDIR` to measure another disk.
+//! The folder is created in the system's temporary folder; set `TMPDIR` to measure another disk.
 
 use std::fs;
 use std::path::Path;
@@ -21,7 +21,7 @@
 pub const SYNC: Metric = Metric {
     id: "S1",
     name: "append a batch and sync it, wall time",
-    of: "records",
+    size_unit: "records",
     unit: "ms",
 };
 pub const DISK: Metric = recovery("S2", "log on disk, half grants and half conclusions", "B");
@@ -32,7 +32,7 @@
     Metric {
         id,
         name,
-        of: "records",
+        size_unit: "records",
         unit,
     }
 }
@@ -41,7 +41,9 @@
     for batch in BATCH_SIZES {
         let folder = TempDir::new().expect("a temporary folder can be created");
         let (mut store, _) = Store::open(folder.path()).expect("the folder opens");
-        let batches: Vec<Vec<Record>> = (0..SYNCS).map(|at| records(at * batch, batch)).collect();
+        let batches: Vec<Vec<Record>> = (0..SYNCS)
+            .map(|number| records(number * batch, batch))
+            .collect();
         let ((), seconds) = wall_seconds(|| {
             for records in &batches {
                 store.append(records).expect("the disk has room");
@@ -56,28 +58,32 @@
         store.append(&records(0, count)).expect("the disk has room");
         store.sync().expect("the disk syncs");
         drop(store);
-        report.record(DISK, count, segment_bytes(folder.path()));
+        report.record(DISK, count, folder_bytes(folder.path()));
         let ((recovered, cpu), wall) =
             wall_seconds(|| nanos_once(|| Store::open(folder.path()).expect("the folder opens").1));
-        assert_eq!(recovered.records.len(), count as usize, "all are recovered");
+        assert_eq!(
+            recovered.records.len(),
+            count as usize,
+            "all records are recovered"
+        );
         report.record(RECOVER_WALL, count, wall * 1e3);
         report.record(RECOVER_CPU, count, cpu / 1e6);
     }
 }
 
-/// Records that alternate between the grant and the conclusion of a key.
+/// Returns records that alternate between the grant and the conclusion of a key.
 fn records(first: u32, count: u32) -> Vec<Record> {
     (first..first + count)
-        .map(|at| {
-            let key = at / 2;
-            let command: Command = if at.is_multiple_of(2) {
+        .map(|number| {
+            let key = number / 2;
+            let command: Command = if number.is_multiple_of(2) {
                 fixtures::grant(key)
             } else {
                 fixtures::conclude(key)
             };
-            let data = postcard::to_stdvec(&command).expect("a command has an encoding");
+            let data = postcard::to_stdvec(&command).expect("the command can be encoded");
             Record {
-                index: LogIndex(u64::from(at) + 1),
+                index: LogIndex(u64::from(number) + 1),
                 term: Term(1),
                 time: log_time(key),
                 payload: Payload::Data(Arc::from(data)),
@@ -86,7 +92,7 @@
         .collect()
 }
 
-fn segment_bytes(folder: &Path) -> f64 {
+fn folder_bytes(folder: &Path) -> f64 {
     let files = fs::read_dir(folder).expect("the folder can be listed");
     let bytes: u64 = files
         .flatten()
--- a/crates/auburnbridge_capacity/tests/capacity.rs
+++ b/crates/auburnbridge_capacity/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Tests of the measuring program and of the page that explains its tables.
+//! Tests the measurement program and the page that explains its tables.
 
 use std::collections::BTreeSet;
 use std::process::{Command, Output};
@@ -12,7 +12,7 @@
         .expect("the program starts")
 }
 
-/// First cells of the rows of all tables in `text`.
+/// Returns the first cell of each row of all tables in `text`.
 fn row_ids(text: &str) -> Vec<&str> {
     text.lines()
         .filter_map(|line| line.strip_prefix("| "))
@@ -20,12 +20,12 @@
         .collect()
 }
 
-/// Guards against a measurement that loses a size or a run, so that the table shows fewer samples
-/// than it claims.
+/// Guards against a measurement that omits a size or a run, so that the table contains fewer
+/// samples than requested.
 #[test]
 fn each_size_has_a_row_with_all_its_runs() {
     let output = run(&["--runs", "2", "--only", "choice"]);
-    let table = String::from_utf8(output.stdout).expect("the table is text");
+    let table = String::from_utf8(output.stdout).expect("the table is valid UTF-8");
     let ids = row_ids(&table);
     for id in ["D1", "D2", "D3"] {
         let rows = ids.iter().filter(|row| **row == id).count();
@@ -38,39 +38,45 @@
     assert_eq!(runs, 12, "rows with two runs in:\n{table}");
 }
 
-/// Guards against a mistyped option that starts minutes of measurements.
+/// Guards against a mistyped option being ignored, which would start minutes of measurements.
 #[test]
 fn an_unknown_option_is_refused() {
     let output = run(&["--run", "2"]);
-    assert!(!output.status.success(), "the program refuses the option");
-    assert!(output.stdout.is_empty(), "nothing was measured");
+    assert!(
+        !output.status.success(),
+        "the program accepted an unknown option"
+    );
+    assert!(
+        output.stdout.is_empty(),
+        "the program measured despite an unknown option"
+    );
 }
 
-/// Guards against text of the page that cites a figure which the tables no longer have.
+/// Guards against the page citing a figure that its tables no longer contain.
 #[test]
 fn the_page_cites_only_figures_of_its_tables() {
     let (text, tables) = PAGE
         .split_once("## Tables")
-        .expect("the tables stand at the end");
+        .expect("the page ends with the tables");
     let known: BTreeSet<&str> = row_ids(tables).into_iter().collect();
     let cited: BTreeSet<&str> = text
         .split(|c: char| !c.is_ascii_alphanumeric())
         .filter(|word| is_id(word))
         .collect();
     let unknown: Vec<_> = cited.difference(&known).collect();
-    assert!(cited.len() > 20, "the page cites its figures: {cited:?}");
+    assert!(cited.len() > 20, "too few figures cited: {cited:?}");
     assert!(unknown.is_empty(), "cited but not in a table: {unknown:?}");
 }
 
-/// Whether a word has the form of an id, such as `R3` or `CG1a`.
+/// Whether a word has the form of a row id, such as `R3` or `CG1a`.
 fn is_id(word: &str) -> bool {
     let letters = word.chars().take_while(char::is_ascii_uppercase).count();
     let digits = word[letters..].trim_end_matches(['a', 'b']);
-    let groups = [
+    let prefixes = [
         "R", "G", "E", "A", "D", "H", "S", "P", "K", "L", "CG", "CP", "CS", "CT", "CC", "CR", "CE",
         "CM", "CL",
     ];
-    groups.contains(&&word[..letters])
+    prefixes.contains(&&word[..letters])
         && !digits.is_empty()
         && digits.chars().all(|c| c.is_ascii_digit())
 }
