--- a/crates/auburnbridge_types/src/answer.rs
+++ b/crates/auburnbridge_types/src/answer.rs
@@ -1,8 +1,8 @@
-//! The closed list of error kinds and the answer that a caller gets for each.
+//! All error kinds and the answer that a caller receives for each.
 //!
-//! The table gives the outcome that holds when the refused request was the first attempt. A keyed
-//! request whose ledger entry was not read may have run in an earlier attempt, through another
-//! entry; for it, [`Answer::for_possible_resend`] turns `not-run` into `unknown`.
+//! [`ErrorKind::answer`] assumes that the refused request is the first attempt. A keyed request
+//! whose ledger entry was not read may already have run through another entry; for it,
+//! [`Answer::for_possible_resend`] turns `not-run` into `unknown`.
 
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
@@ -10,74 +10,74 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Outcome {
-    /// The request did not run and will not run without a resend.
+    /// The request did not run and will not run unless it is sent again.
     NotRun,
     /// The request may have run.
     Unknown,
 }
 
-/// Every reason for an answer that is not the target's own.
+/// Reason for an error answer that the proxy itself generates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumIter, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum ErrorKind {
-    /// The request breaks a framing rule of HTTP/1.1.
+    /// The request violates the HTTP/1.1 framing rules.
     MalformedRequest,
-    /// The request's body is longer than the limit.
+    /// The request body exceeds the size limit.
     RequestTooLarge,
-    /// The request's head is longer than the limit.
+    /// The request head exceeds the size limit.
     HeadTooLarge,
-    /// The request's body did not arrive in time.
+    /// The request body did not arrive in time.
     RequestTimeout,
-    /// No rule matches the method and path.
+    /// No route matches the method and path.
     NoRoute,
-    /// The route needs an `Idempotency-Key` and the request has none.
+    /// The route requires an `Idempotency-Key` and the request has none.
     KeyMissing,
-    /// The `Idempotency-Key` is not a UUID version 7, or a header of ours can't be parsed.
+    /// The `Idempotency-Key` is not a UUID version 7, or an Auburnbridge header can't be parsed.
     HeaderInvalid,
-    /// The key is past its retention or lies too far ahead.
+    /// The key is past its retention period, or its creation time is too far in the future.
     KeyExpired,
-    /// The key was used with another request.
+    /// The key was already used for a different request.
     KeyReused,
     /// An earlier attempt with this key is still in progress.
     KeyInProgress,
-    /// An earlier attempt with this key ended without a known outcome.
+    /// An earlier attempt with this key ended with an unknown outcome.
     KeyOutcomeUnknown,
-    /// The earlier attempt ran, and its answer was too large to keep.
+    /// An earlier attempt ran, but its answer was too large to store.
     AnswerNotKept,
     /// The request crashed the targets that ran it.
     RequestPoisoned,
-    /// The account is over its limit.
+    /// The account exceeded its rate limit.
     AccountLimited,
-    /// The queue of the service is full or too slow for the deadline.
+    /// The queue of the service is full, or too slow to meet the deadline.
     Overloaded,
-    /// No target of the service is in use, or each one tried refused the connection.
+    /// The service has no target in use, or each target tried refused the connection.
     NoTarget,
     /// The keepers can't be reached or have no quorum.
     LedgerUnavailable,
     /// The entry has no rules yet.
     RulesUnavailable,
-    /// The entry is stopping.
+    /// The entry is shutting down.
     ShuttingDown,
-    /// The deadline passed before the request went to a target.
+    /// The deadline passed before the request was sent to a target.
     DeadlineBeforeDispatch,
-    /// The deadline passed while a target had the request.
+    /// The deadline passed while a target was processing the request.
     DeadlineAfterDispatch,
-    /// The target closed the connection or broke the framing of its answer.
+    /// The target closed the connection early or its answer violated the framing rules.
     AnswerIncomplete,
-    /// The target's answer is longer than the limit.
+    /// The target's answer exceeds the size limit.
     AnswerTooLarge,
-    /// An invariant of the entry failed.
+    /// An internal invariant of the entry was violated.
     Internal,
 }
 
-/// Status, outcome and advice for one error kind.
+/// Status, outcome and retry delay for one error kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status code.
     pub status: u16,
-    /// What is known about the execution.
+    /// What is known about the execution of the request.
     pub outcome: Outcome,
-    /// Value of `Retry-After` in seconds.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after: Option<u32>,
     /// Short human-readable summary.
     pub title: &'static str,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The same answer for a keyed request that may be a resend of one that ran.
+    /// Returns this answer for a keyed request that may be a resend of one that already ran.
     #[must_use]
     pub const fn for_possible_resend(self) -> Self {
         Self {
@@ -113,7 +113,7 @@
 }
 
 impl ErrorKind {
-    /// The answer to a caller whose request failed for this reason.
+    /// Returns the answer to a caller whose request failed for this reason.
     pub const fn answer(self) -> Answer {
         match self {
             Self::MalformedRequest => Answer::not_run(400, None, "The request is malformed"),
--- a/crates/auburnbridge_types/src/attempt.rs
+++ b/crates/auburnbridge_types/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Identity of one attempt to run a request.
+//! Identifier of one attempt to run a request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,14 +7,14 @@
 
 use crate::{ParseError, VmId};
 
-/// One attempt of an entry to run a request; no two attempts share an id.
+/// Unique id of one attempt by an entry to run a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
     /// The entry that makes the attempt.
     pub vm: VmId,
-    /// Random number of the entry's process, since an entry has no disk to count its starts on.
+    /// Random number that identifies the entry process; an entry has no disk to count restarts on.
     pub boot: u64,
-    /// Position of the attempt among those of the process.
+    /// Sequence number of the attempt within the process.
     pub sequence: u64,
 }
 
@@ -28,17 +28,17 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let error = || ParseError::new("an attempt as `vm/boot/sequence`", text);
+        let invalid = || ParseError::new("an attempt as `vm/boot/sequence`", text);
         let mut parts = text.split('/');
         let (Some(vm), Some(boot), Some(sequence), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
-            return Err(error());
+            return Err(invalid());
         };
         Ok(Self {
             vm: vm.parse()?,
-            boot: u64::from_str_radix(boot, 16).map_err(|_| error())?,
-            sequence: sequence.parse().map_err(|_| error())?,
+            boot: u64::from_str_radix(boot, 16).map_err(|_| invalid())?,
+            sequence: sequence.parse().map_err(|_| invalid())?,
         })
     }
 }
--- a/crates/auburnbridge_types/src/clock.rs
+++ b/crates/auburnbridge_types/src/clock.rs
@@ -1,7 +1,7 @@
-//! The clock of the runtime, and a paused one for tests.
+//! Clocks for production, and a manually advanced clock for tests.
 //!
 //! The timers of `async-std` can't be paused, so components that wait take a [`Clock`] as a trait
-//! object. Tests pass a [`PausedClock`] and advance it; nothing sleeps for real.
+//! object. Tests pass a [`PausedClock`] and advance it instead of sleeping.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -17,16 +17,16 @@
 /// A boxed future that can move between worker threads.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// Source of time and of waiting.
+/// A source of the current time and of timers.
 pub trait Clock: Send + Sync {
-    /// The current time.
+    /// Returns the current time.
     fn now(&self) -> Timestamp;
 
     /// Completes after `duration` has passed on this clock.
     fn sleep(&self, duration: Millis) -> BoxFuture<'static, ()>;
 }
 
-/// The clock of the machine and the timers of `async-std`.
+/// The system's wall clock and the timers of `async-std`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RuntimeClock;
 
@@ -43,22 +43,22 @@
     }
 }
 
-/// A clock whose readings advance with the time since the boot of the machine.
+/// A clock that advances with the time since the system booted.
 ///
-/// It starts at the time of day and is not affected when that is set. Unlike the monotonic clock it
-/// counts the time for which the machine was suspended, so that a deadline passes meanwhile.
+/// It starts at the wall-clock time and ignores later changes to the wall clock. Unlike the
+/// monotonic clock it includes time spent suspended, so deadlines also pass during a suspend.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
-    /// Time of day at the boot of the machine, as seen when the clock was created.
-    booted: Timestamp,
+    /// Wall-clock time of the system's boot, computed when the clock was created.
+    boot_time: Timestamp,
 }
 
 impl BootClock {
-    /// Reads both clocks of the machine once.
+    /// Creates a clock that starts at the current wall-clock time.
     pub fn new() -> Self {
         let since_boot = time_since_boot();
         Self {
-            booted: Timestamp(RuntimeClock.now().0.saturating_sub(since_boot.0)),
+            boot_time: Timestamp(RuntimeClock.now().0.saturating_sub(since_boot.0)),
         }
     }
 }
@@ -71,7 +71,7 @@
 
 impl Clock for BootClock {
     fn now(&self) -> Timestamp {
-        self.booted.after(time_since_boot())
+        self.boot_time.after(time_since_boot())
     }
 
     fn sleep(&self, duration: Millis) -> BoxFuture<'static, ()> {
@@ -81,11 +81,11 @@
 
 fn time_since_boot() -> Millis {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME)
-        .expect("Linux has had a boot-time clock since version 2.6.39");
+        .expect("CLOCK_BOOTTIME is available since Linux 2.6.39");
     Millis(u64::try_from(Duration::from(time).as_millis()).unwrap_or(u64::MAX))
 }
 
-/// A clock that moves only when a test advances it.
+/// A clock for tests that advances only through [`PausedClock::advance`].
 #[derive(Clone, Debug)]
 pub struct PausedClock {
     state: Arc<Mutex<PausedState>>,
@@ -94,28 +94,28 @@
 #[derive(Debug)]
 struct PausedState {
     now: Timestamp,
-    sleepers: Vec<Waker>,
+    wakers: Vec<Waker>,
 }
 
 impl PausedClock {
-    /// Creates a clock that stands at `now`.
+    /// Creates a clock that reads `now` until it is advanced.
     pub fn new(now: Timestamp) -> Self {
         Self {
             state: Arc::new(Mutex::new(PausedState {
                 now,
-                sleepers: Vec::new(),
+                wakers: Vec::new(),
             })),
         }
     }
 
-    /// Moves the clock ahead and wakes the sleepers.
+    /// Advances the clock by `duration` and wakes all sleeping tasks.
     pub fn advance(&self, duration: Millis) {
-        let sleepers = {
+        let wakers = {
             let mut state = self.state.lock();
             state.now = state.now.after(duration);
-            std::mem::take(&mut state.sleepers)
+            std::mem::take(&mut state.wakers)
         };
-        for waker in sleepers {
+        for waker in wakers {
             waker.wake();
         }
     }
@@ -148,7 +148,7 @@
         if state.now >= self.wake_at {
             return Poll::Ready(());
         }
-        state.sleepers.push(cx.waker().clone());
+        state.wakers.push(cx.waker().clone());
         Poll::Pending
     }
 }
--- a/crates/auburnbridge_types/src/idempotency.rs
+++ b/crates/auburnbridge_types/src/idempotency.rs
@@ -1,4 +1,4 @@
-//! Keys and digests that identify a caller's request across resends.
+//! Idempotency keys and digests that identify a caller's request across resends.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,22 +8,22 @@
 
 use crate::{ParseError, Timestamp};
 
-/// A caller's key for one request: a UUID version 7, which holds its time of creation.
+/// A caller's key for one request: a UUID version 7, which contains its creation time.
 ///
-/// The creation time lets the ledger refuse a key that is older than its memory, so that a key can
-/// be dropped without a later resend running again.
+/// The creation time lets the ledger refuse keys that are older than the retention period. It can
+/// therefore drop a key without the risk that a later resend runs the request again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Uuid", into = "Uuid")]
 pub struct IdempotencyKey(Uuid);
 
 impl IdempotencyKey {
-    /// Time at which the caller made the key.
+    /// Returns the time at which the caller created the key.
     pub fn created(&self) -> Timestamp {
-        let bits = self.0.as_u128() >> 80;
-        Timestamp(u64::try_from(bits).expect("48 bits fit into 64"))
+        let millis = self.0.as_u128() >> 80;
+        Timestamp(u64::try_from(millis).expect("the shift leaves 48 bits"))
     }
 
-    /// Builds a key from its creation time and 10 bytes of randomness.
+    /// Builds a key from its creation time and 10 random bytes.
     pub fn from_parts(created: Timestamp, random: [u8; 10]) -> Self {
         Self(uuid::Builder::from_unix_timestamp_millis(created.0, &random).into_uuid())
     }
@@ -51,13 +51,13 @@
     type Err = ParseError;
 
     /// Parses the value of an `Idempotency-Key` header, with or without the quotes of a
-    /// structured field string.
+    /// structured-field string.
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let bare = text
+        let unquoted = text
             .strip_prefix('"')
             .and_then(|rest| rest.strip_suffix('"'))
             .unwrap_or(text);
-        Uuid::parse_str(bare)
+        Uuid::parse_str(unquoted)
             .map_err(|_| ParseError::new("a UUID version 7", text))?
             .try_into()
     }
@@ -69,7 +69,7 @@
     }
 }
 
-/// SHA-256 digest of a request's method, path and body.
+/// SHA-256 digest of the method, path and body of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BodyDigest(pub [u8; 32]);
 
@@ -87,15 +87,19 @@
     }
 }
 
-/// Parses the 64 hexadecimal digits of a SHA-256 digest.
+/// Parses a SHA-256 digest of 64 hexadecimal digits.
+///
+/// # Errors
+///
+/// Fails if `text` is not exactly 64 hexadecimal digits.
 pub fn parse_digest(text: &str) -> Result<[u8; 32], ParseError> {
-    let error = || ParseError::new("64 hexadecimal digits", text);
+    let invalid = || ParseError::new("64 hexadecimal digits", text);
     if text.len() != 64 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-        return Err(error());
+        return Err(invalid());
     }
     let mut digest = [0; 32];
-    for (byte, at) in digest.iter_mut().zip((0..64).step_by(2)) {
-        *byte = u8::from_str_radix(&text[at..at + 2], 16).map_err(|_| error())?;
+    for (byte, start) in digest.iter_mut().zip((0..64).step_by(2)) {
+        *byte = u8::from_str_radix(&text[start..start + 2], 16).map_err(|_| invalid())?;
     }
     Ok(digest)
 }
--- a/crates/auburnbridge_types/src/lib.rs
+++ b/crates/auburnbridge_types/src/lib.rs
@@ -1,8 +1,7 @@
-//! Identifiers, sizes, rates, error kinds and the clock that all other crates share.
+//! Identifiers, quantities, error kinds and clocks that the other crates share.
 //!
-//! Each identifier and quantity is a newtype with `Display` and `FromStr`, so that a slot count
-//! can't be passed where a revision is expected, and so that settings, rules and log lines spell a
-//! value in the same way.
+//! Identifiers and quantities are newtypes with `Display` and `FromStr`. A slot count can't be
+//! passed where a revision is expected, and settings, rules and log lines format values alike.
 
 mod answer;
 mod attempt;
@@ -21,17 +20,17 @@
     Slots, Timestamp, Weight,
 };
 
-/// Reason why a text is not a value of one of this crate's types.
+/// Error for a text that can't be parsed as one of this crate's types.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseError {
-    /// What was expected, such as "a name of 1 to 64 characters".
+    /// Description of the expected value, such as "a name of 1 to 64 characters".
     pub expected: &'static str,
-    /// The offending text.
+    /// The text that can't be parsed.
     pub text: String,
 }
 
 impl ParseError {
-    /// Describes `text` as not being what was `expected`.
+    /// Creates an error for `text`, where `expected` describes a valid value.
     pub fn new(expected: &'static str, text: &str) -> Self {
         Self {
             expected,
--- a/crates/auburnbridge_types/src/names.rs
+++ b/crates/auburnbridge_types/src/names.rs
@@ -1,7 +1,8 @@
 //! Names of VMs, data centres, services, targets and accounts.
 //!
-//! A name holds 1 to 64 characters of `a-z A-Z 0-9 . _ : -`, which bounds its share of every
-//! message and keeps log lines free of quoting. Clones share one allocation.
+//! A name has 1 to 64 characters from `a-z A-Z 0-9 . _ : -`. The length limit bounds the size of
+//! messages, and the character set keeps names free of quoting in log lines. Clones share one
+//! allocation.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -14,7 +15,7 @@
 
 const MAX_NAME_BYTES: usize = 64;
 
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= MAX_NAME_BYTES
         && text
@@ -29,7 +30,7 @@
         pub struct $type(Arc<str>);
 
         impl $type {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -39,7 +40,7 @@
             type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, ParseError> {
-                if is_name(text) {
+                if is_valid_name(text) {
                     Ok(Self(text.into()))
                 } else {
                     Err(ParseError::new(
@@ -79,11 +80,11 @@
 }
 
 name!(
-    /// One of our own VMs, as its settings name it.
+    /// Name of a VM that runs Auburnbridge, as given in its settings.
     VmId
 );
 impl VmId {
-    /// The address of a VM that is named by its IP address.
+    /// Returns the IP address if the VM is named by its IP address.
     pub fn ip(&self) -> Option<IpAddr> {
         self.as_str().parse().ok()
     }
@@ -92,24 +93,24 @@
 impl From<IpAddr> for VmId {
     /// Names a VM by its IP address.
     fn from(ip: IpAddr) -> Self {
-        // The text of an address has only characters that a name may have.
+        // The text of an IP address is always a valid name.
         Self(ip.to_string().into())
     }
 }
 
 name!(
-    /// A data centre.
+    /// Name of a data centre.
     DataCentre
 );
 name!(
-    /// A service that targets provide.
+    /// Name of a service that targets provide.
     ServiceName
 );
 name!(
-    /// A target, as it announces itself.
+    /// Id under which a target announces itself.
     TargetId
 );
 name!(
-    /// A caller's account.
+    /// Name of a client account.
     AccountId
 );
--- a/crates/auburnbridge_types/src/quantities.rs
+++ b/crates/auburnbridge_types/src/quantities.rs
@@ -1,4 +1,4 @@
-//! Counts, times, sizes and rates.
+//! Counters, times, sizes and rates.
 
 use std::fmt;
 use std::str::FromStr;
@@ -37,19 +37,19 @@
 }
 
 quantity!(
-    /// Number of a target's life: a restarted target announces a higher one.
+    /// Number of a process; the same target or entry has a higher one after a restart.
     Incarnation(u64), "", "a whole number"
 );
 quantity!(
-    /// Position of an announcement among those of one incarnation.
+    /// Position of an announcement within one incarnation.
     Sequence(u64), "", "a whole number"
 );
 quantity!(
-    /// Number of a state of the rules; a later state has a higher one.
+    /// Revision of the rules; a later revision has a higher number.
     Revision(u64), "", "a whole number"
 );
 quantity!(
-    /// Point in time, in milliseconds since the Unix epoch.
+    /// Point in time in milliseconds since the Unix epoch.
     Timestamp(u64), "", "a time in milliseconds since the Unix epoch"
 );
 quantity!(
@@ -57,7 +57,7 @@
     Millis(u64), "ms", "a duration in milliseconds, such as `250ms`"
 );
 quantity!(
-    /// Number of requests that a target runs at the same time.
+    /// Number of requests that a target runs concurrently.
     Slots(u32), "", "a whole number of slots"
 );
 quantity!(
@@ -74,29 +74,29 @@
     ConfigVersion(u64), "", "a whole number"
 );
 quantity!(
-    /// Rank of a route; 0 goes first.
+    /// Priority of a route; 0 is the highest.
     Priority(u32), "", "a whole number"
 );
 quantity!(
-    /// Share of a destination among those of its route, relative to the sum.
+    /// Weight of a destination, relative to the sum of the weights of its route.
     Weight(u32), "", "a whole number"
 );
 
 impl Timestamp {
-    /// The point in time that lies `duration` later.
+    /// Returns the point in time `duration` later, or the latest possible one on overflow.
     #[must_use]
     pub fn after(self, duration: Millis) -> Self {
         Self(self.0.saturating_add(duration.0))
     }
 
-    /// The time that has passed since `earlier`, or zero when that lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is in the future.
     pub fn since(self, earlier: Self) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Revision {
-    /// The revision after this one.
+    /// Returns the next revision.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
--- a/crates/auburnbridge_types/tests/types.rs
+++ b/crates/auburnbridge_types/tests/types.rs
@@ -1,4 +1,4 @@
-//! Guards the spelling of values and the closed table of answers.
+//! Tests of the text formats of the types and of the answers to the error kinds.
 
 use std::task::{Context, Poll, Waker};
 
@@ -8,7 +8,7 @@
 };
 use strum::IntoEnumIterator;
 
-/// Guards against a changed status, outcome or `Retry-After`, which are part of the HTTP contract.
+/// Guards against a changed status, outcome or `Retry-After`, which are part of the HTTP interface.
 #[test]
 fn table_of_answers() {
     let table: Vec<String> = ErrorKind::iter()
@@ -26,9 +26,10 @@
     insta::assert_snapshot!(table.join("\n"));
 }
 
-/// Guards against a refusal of a possible resend that claims certainty.
+/// Guards against telling a caller that a possible resend did not run: an earlier attempt may have
+/// run through another entry.
 #[test]
-fn possible_resend_is_never_not_run() {
+fn possible_resend_has_unknown_outcome() {
     for kind in ErrorKind::iter() {
         assert_eq!(
             kind.answer().for_possible_resend().outcome,
@@ -37,9 +38,9 @@
     }
 }
 
-/// Guards against an address that is no name, or that is not found again in it.
+/// Guards against IP addresses that are not valid VM names or that the name does not return.
 #[test]
-fn vm_named_by_its_address_gives_it_back() {
+fn vm_id_from_ip_address_round_trips() {
     for text in ["10.0.0.1", "fd00::1"] {
         let ip: std::net::IpAddr = text.parse().unwrap();
         let vm = VmId::from(ip);
@@ -49,16 +50,16 @@
     assert_eq!("entry-1".parse::<VmId>().unwrap().ip(), None);
 }
 
-/// Guards against names that would break log lines or grow messages without bound.
+/// Guards against names that would break log lines or make messages arbitrarily large.
 #[test]
-fn names_are_bounded() {
+fn invalid_names_are_rejected() {
     assert!("entry-1.a:9000".parse::<VmId>().is_ok());
     for text in ["", "two words", "line\nbreak", &"x".repeat(65)] {
         assert!(text.parse::<VmId>().is_err(), "accepted {text:?}");
     }
 }
 
-/// Guards against a value that can't be read back from its own spelling.
+/// Guards against values whose `Display` output can't be parsed again.
 #[test]
 fn values_round_trip() {
     let attempt = AttemptId {
@@ -72,9 +73,9 @@
     assert!("three".parse::<Slots>().is_err());
 }
 
-/// Guards against a key without a usable creation time.
+/// Guards against keys whose creation time is wrong, and against UUIDs that contain none.
 #[test]
-fn idempotency_key_holds_its_creation_time() {
+fn idempotency_key_contains_its_creation_time() {
     let key = IdempotencyKey::from_parts(Timestamp(1_700_000_000_123), [9; 10]);
     assert_eq!(key.created(), Timestamp(1_700_000_000_123));
     assert_eq!(format!("\"{key}\"").parse(), Ok(key));
@@ -82,9 +83,9 @@
     assert!(version_4.parse::<IdempotencyKey>().is_err());
 }
 
-/// Guards against a paused clock that runs by itself or never wakes.
+/// Guards against a paused clock that advances by itself or never wakes a sleeping task.
 #[test]
-fn paused_clock_moves_only_when_advanced() {
+fn paused_clock_wakes_only_when_advanced() {
     let clock = PausedClock::new(Timestamp(1_000));
     let mut sleep = clock.sleep(Millis(50));
     let mut cx = Context::from_waker(Waker::noop());
