--- a/crates/auburnbridge_platform/src/lib.rs
+++ b/crates/auburnbridge_platform/src/lib.rs
@@ -1,4 +1,5 @@
-//! The endpoints for the platform's balancer and for target announcements.
+//! HTTP endpoints of an entry: readiness for the platform's load balancer, and announcements of
+//! targets.
 
 use std::sync::Arc;
 
@@ -11,27 +12,31 @@
 /// Path of the announcement endpoint.
 pub const ANNOUNCE_PATH: &str = "/auburnbridge/announce";
 
-/// Largest announcement, in bytes; the fields are bounded to far less.
-const ANNOUNCEMENT_LIMIT: usize = 2_048;
+/// Size limit for the body of an announcement; the limits of its fields add up to far less.
+const MAX_ANNOUNCEMENT_BYTES: usize = 2_048;
 
-/// What the platform and the targets ask of an entry.
+/// Handler of the calls that the platform and the targets make to an entry.
 pub trait Platform: Send + Sync + 'static {
-    /// Whether the balancer may send requests here; the reason if not.
+    /// Checks whether the load balancer may send requests to this entry.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason why the entry is not ready.
     fn readiness(&self) -> Result<(), &'static str>;
 
-    /// Takes an announcement.
+    /// Handles an announcement of a target.
     fn announce(&self, announcement: Announcement) -> Verdict;
 }
 
-/// The application for the balancer.
+/// Builds the readiness endpoint for the load balancer.
 pub fn readiness_app(platform: Arc<dyn Platform>) -> tide::Server<()> {
     let mut app = tide::new();
     app.at(READY_PATH).get(move |_req: Request<()>| {
         let readiness = platform.readiness();
         async move {
             Ok(match readiness {
-                Ok(()) => answer(StatusCode::Ok, &json!({"ready": true})),
-                Err(reason) => answer(
+                Ok(()) => json_response(StatusCode::Ok, &json!({"ready": true})),
+                Err(reason) => json_response(
                     StatusCode::ServiceUnavailable,
                     &json!({"ready": false, "reason": reason}),
                 ),
@@ -41,21 +46,21 @@
     app
 }
 
-/// The application for the targets.
+/// Builds the announcement endpoint for targets.
 pub fn announcement_app(platform: Arc<dyn Platform>) -> tide::Server<()> {
     let mut app = tide::new();
     app.at(ANNOUNCE_PATH).post(move |req: Request<()>| {
         let platform = Arc::clone(&platform);
-        async move { take_announcement(platform.as_ref(), req).await }
+        async move { handle_announcement(platform.as_ref(), req).await }
     });
     app
 }
 
-async fn take_announcement(platform: &dyn Platform, mut req: Request<()>) -> tide::Result {
+async fn handle_announcement(platform: &dyn Platform, mut req: Request<()>) -> tide::Result {
     let body = req.body_bytes().await?;
-    if body.len() > ANNOUNCEMENT_LIMIT {
-        let error = format!("an announcement has at most {ANNOUNCEMENT_LIMIT} bytes");
-        return Ok(answer(
+    if body.len() > MAX_ANNOUNCEMENT_BYTES {
+        let error = format!("an announcement has at most {MAX_ANNOUNCEMENT_BYTES} bytes");
+        return Ok(json_response(
             StatusCode::PayloadTooLarge,
             &json!({"error": error}),
         ));
@@ -64,7 +69,10 @@
         Ok(announcement) => announcement,
         Err(error) => {
             let error = format!("the announcement is invalid: {error}");
-            return Ok(answer(StatusCode::BadRequest, &json!({"error": error})));
+            return Ok(json_response(
+                StatusCode::BadRequest,
+                &json!({"error": error}),
+            ));
         }
     };
     let verdict = platform.announce(announcement);
@@ -73,10 +81,13 @@
         Verdict::Conflict => StatusCode::Conflict,
         Verdict::Full => StatusCode::ServiceUnavailable,
     };
-    Ok(answer(status, &json!({"verdict": verdict.to_string()})))
+    Ok(json_response(
+        status,
+        &json!({"verdict": verdict.to_string()}),
+    ))
 }
 
-fn answer(status: StatusCode, body: &serde_json::Value) -> Response {
+fn json_response(status: StatusCode, body: &serde_json::Value) -> Response {
     Response::builder(status)
         .body(body.clone())
         .content_type("application/json")
