--- a/crates/auburnbridge/src/commands/keeper.rs
+++ b/crates/auburnbridge/src/commands/keeper.rs
@@ -93,7 +93,7 @@
                 // If a team has the operator's name, its `team` lines apply to the key.
                 team: key.name.parse().ok(),
                 scopes: match &key.services {
-                    ServiceScope::All => vec![TeamScope::Everything],
+                    ServiceScope::All => vec![TeamScope::All],
                     ServiceScope::Listed(names) => {
                         names.iter().cloned().map(TeamScope::Service).collect()
                     }
--- a/crates/auburnbridge_entry/src/attempt.rs
+++ b/crates/auburnbridge_entry/src/attempt.rs
@@ -4,7 +4,7 @@
 use auburnbridge_http::{FramingError, Request, Response};
 use auburnbridge_metrics::{Counter, Timer};
 use auburnbridge_policy::{Observation, RequestClass};
-use auburnbridge_rules::Class;
+use auburnbridge_rules::RouteClass;
 use auburnbridge_target::{Exchange, ExchangeResult, NotSent, Unknown};
 use auburnbridge_types::{AttemptId, Millis, Timestamp};
 use futures_lite::FutureExt;
@@ -216,9 +216,9 @@
 }
 
 /// Converts the class of a route to that of the policy crate.
-pub(crate) fn request_class(class: Class) -> RequestClass {
+pub(crate) fn request_class(class: RouteClass) -> RequestClass {
     match class {
-        Class::Idempotent => RequestClass::Idempotent,
-        Class::Once => RequestClass::Once,
+        RouteClass::Idempotent => RequestClass::Idempotent,
+        RouteClass::Once => RequestClass::Once,
     }
 }
--- a/crates/auburnbridge_entry/src/dispatch.rs
+++ b/crates/auburnbridge_entry/src/dispatch.rs
@@ -5,7 +5,7 @@
 use auburnbridge_caller::{Disconnect, Problem};
 use auburnbridge_http::Response;
 use auburnbridge_policy::{CrashReport, TargetKey};
-use auburnbridge_rules::Class;
+use auburnbridge_rules::RouteClass;
 use auburnbridge_types::{AttemptId, BodyDigest, ErrorKind};
 
 use crate::admission::{NotAdmitted, Permit};
@@ -147,7 +147,7 @@
         let failure = self.failure.as_ref();
         let is_shed = failure.is_some_and(|failure| failure.kind == ErrorKind::Overloaded);
         // A request that holds a grant also waits until a target becomes available.
-        if !is_shed && self.req.route.class == Class::Idempotent {
+        if !is_shed && self.req.route.class == RouteClass::Idempotent {
             return Some(false);
         }
         let wait = self.backoff.wait(self.entry, self.req.deadline);
--- a/crates/auburnbridge_entry/src/entry.rs
+++ b/crates/auburnbridge_entry/src/entry.rs
@@ -12,7 +12,7 @@
 use auburnbridge_messages::ServiceEvidence;
 use auburnbridge_metrics::{Counter, Metrics, Timer};
 use auburnbridge_policy::{AccountLimit, AccountLimiter, CrashReport, PoisonTable};
-use auburnbridge_rules::{Class, Rules};
+use auburnbridge_rules::{RouteClass, Rules};
 use auburnbridge_types::{
     AttemptId, BodyDigest, BoxFuture, Clock, DataCentre, ErrorKind, Millis, Revision, Timestamp,
     VmId,
@@ -218,8 +218,8 @@
             return self.refuse(&req, &req.reject_without_grant(problem));
         }
         let result = match req.route.class {
-            Class::Idempotent => idempotent::serve(self, &req, &disconnect).await,
-            Class::Once => keyed::serve(self, &req).await,
+            RouteClass::Idempotent => idempotent::serve(self, &req, &disconnect).await,
+            RouteClass::Once => keyed::serve(self, &req).await,
         };
         self.finish_request(&req, result)
     }
--- a/crates/auburnbridge_entry/src/request.rs
+++ b/crates/auburnbridge_entry/src/request.rs
@@ -2,7 +2,7 @@
 
 use auburnbridge_caller::Problem;
 use auburnbridge_http::Request;
-use auburnbridge_rules::{Class, Method, Route, Rules};
+use auburnbridge_rules::{Method, Route, RouteClass, Rules};
 use auburnbridge_types::{AccountId, BodyDigest, ErrorKind, IdempotencyKey, Millis, Timestamp};
 use sha2::{Digest, Sha256};
 
@@ -68,8 +68,8 @@
             .map_or(route.timeout, |wait: Millis| wait.min(route.timeout));
         let previous_attempts: Option<u32> = header(&message, PREVIOUS_ATTEMPTS_HEADER)?;
         let key = match route.class {
-            Class::Idempotent => None,
-            Class::Once => Some(header(&message, KEY_HEADER)?.ok_or_else(|| {
+            RouteClass::Idempotent => None,
+            RouteClass::Once => Some(header(&message, KEY_HEADER)?.ok_or_else(|| {
                 let detail = format!("{} {path} runs at most once", message.method);
                 Problem::new(ErrorKind::KeyMissing, detail)
             })?),
--- a/crates/auburnbridge_operator/src/keys.rs
+++ b/crates/auburnbridge_operator/src/keys.rs
@@ -47,7 +47,7 @@
             .filter(|line| Some(&line.name) == self.team.as_ref())
             .map(|line| &line.scope);
         self.scopes.iter().chain(by_team).any(|scope| match scope {
-            TeamScope::Everything => true,
+            TeamScope::All => true,
             TeamScope::Service(name) => Some(name) == service,
         })
     }
--- a/crates/auburnbridge_operator/tests/operator.rs
+++ b/crates/auburnbridge_operator/tests/operator.rs
@@ -101,7 +101,7 @@
     fn new() -> Self {
         let store = Arc::new(FakeStore::default());
         let keys = OperatorKeys::new(vec![
-            key("root", None, vec![TeamScope::Everything]),
+            key("root", None, vec![TeamScope::All]),
             key("meera", Some("warehouse"), Vec::new()),
             key(
                 "ana",
--- a/crates/auburnbridge_rules/src/lib.rs
+++ b/crates/auburnbridge_rules/src/lib.rs
@@ -28,7 +28,7 @@
 pub use error::RuleError;
 pub use line::{MAX_LINE_BYTES, file_lines};
 pub use model::{
-    Account, Class, EjectionSensitivity, Method, Percent, Route, Service, Team, TeamScope,
+    Account, EjectionSensitivity, Method, Percent, Route, RouteClass, Service, Team, TeamScope,
 };
 pub use path::{InvalidPath, PathPattern, normalize};
 pub use rule_line::{LineKey, RuleLine, rule_lines};
--- a/crates/auburnbridge_rules/src/model.rs
+++ b/crates/auburnbridge_rules/src/model.rs
@@ -37,7 +37,7 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumIter, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "lowercase")]
-pub enum Class {
+pub enum RouteClass {
     /// The request may be retried and hedged.
     Idempotent,
     /// The request runs at most once and needs an idempotency key.
@@ -100,7 +100,7 @@
     /// Service that handles the requests.
     pub service: ServiceName,
     /// Whether a request may run more than once.
-    pub class: Class,
+    pub class: RouteClass,
     /// Time allowed for a request, counted from its arrival.
     pub timeout: Millis,
     /// Largest response body that is forwarded.
@@ -130,7 +130,7 @@
     pub fn service(&self) -> Option<&ServiceName> {
         match &self.scope {
             TeamScope::Service(name) => Some(name),
-            TeamScope::Everything => None,
+            TeamScope::All => None,
         }
     }
 }
@@ -141,5 +141,5 @@
     /// The `service` line of one service and the routes to it.
     Service(ServiceName),
     /// Every line.
-    Everything,
+    All,
 }
--- a/crates/auburnbridge_rules/src/rule.rs
+++ b/crates/auburnbridge_rules/src/rule.rs
@@ -83,7 +83,7 @@
     Team {
         name: parse_checked(line.word(0)),
         scope: match line.word(1) {
-            "*" => TeamScope::Everything,
+            "*" => TeamScope::All,
             service => TeamScope::Service(parse_checked(service)),
         },
     }
--- a/crates/auburnbridge_rules/src/value.rs
+++ b/crates/auburnbridge_rules/src/value.rs
@@ -4,7 +4,7 @@
 
 use strum::IntoEnumIterator;
 
-use crate::model::{Class, EjectionSensitivity, Method};
+use crate::model::{EjectionSensitivity, Method, RouteClass};
 use crate::nearest::nearest;
 use crate::path::PathPattern;
 
@@ -59,7 +59,7 @@
             Self::Name => is_name(word).then_some(0),
             Self::NameOrAll => (word == "*" || is_name(word)).then_some(0),
             Self::Method => word.parse::<Method>().ok().map(|_| 0),
-            Self::Class => word.parse::<Class>().ok().map(|_| 0),
+            Self::Class => word.parse::<RouteClass>().ok().map(|_| 0),
             Self::Path => match PathPattern::check(word) {
                 Ok(()) => Some(0),
                 Err(invalid) => return Err(format!("{self} ({})", invalid.0)),
@@ -95,7 +95,7 @@
     fn choices(self) -> Vec<&'static str> {
         match self {
             Self::Method => Method::iter().map(Into::into).collect(),
-            Self::Class => Class::iter().map(Into::into).collect(),
+            Self::Class => RouteClass::iter().map(Into::into).collect(),
             Self::Sensitivity => SENSITIVITY_LEVELS.iter().map(|(word, _)| *word).collect(),
             _ => Vec::new(),
         }
--- a/crates/auburnbridge_rules/tests/rules.rs
+++ b/crates/auburnbridge_rules/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Tests of parsing and route lookup.
 
-use auburnbridge_rules::{Class, Method, Rules};
+use auburnbridge_rules::{Method, RouteClass, Rules};
 use auburnbridge_types::{ByteSize, Millis, Slots};
 
 const VALID_FILE: &str = "\
@@ -28,7 +28,7 @@
     let route = rules.route(Method::Get, "/bins/a/x").unwrap();
     assert_eq!(route.largest_answer, ByteSize(2 << 20));
     let route = rules.route(Method::Post, "/reservations").unwrap();
-    assert_eq!(route.class, Class::Once);
+    assert_eq!(route.class, RouteClass::Once);
 }
 
 /// Guards against a lookup that returns another route than the longest match, or a route for a path
