--- a/crates/auburnbridge/src/commands/control.rs
+++ b/crates/auburnbridge/src/commands/control.rs
@@ -6,7 +6,7 @@
 
 use argh::FromArgs;
 use async_std::task;
-use auburnbridge_keeper::{Admission, ControlOptions, KeeperOptions, PeerSecurity};
+use auburnbridge_keeper::{ControlOptions, KeeperOptions, MembershipPolicy, PeerSecurity};
 use auburnbridge_log::Config;
 use auburnbridge_operator::OperatorKeys;
 use auburnbridge_peer::PeerAddress;
@@ -41,12 +41,12 @@
         security: PeerSecurity::Unprotected,
         data_folder: settings.data_folder,
         keepers: Arc::clone(&keepers),
-        may_found: settings.founds_group,
-        admission: Admission {
+        may_found_group: settings.founds_group,
+        membership_policy: MembershipPolicy {
             admits_new_vms: true,
-            least_voters: 2 * settings.tolerated_losses as usize + 1,
+            min_voters: 2 * settings.tolerated_losses as usize + 1,
         },
-        vms_are_addresses: true,
+        vms_named_by_ip: true,
         heartbeat_interval: settings.heartbeat_interval,
         control: Some(ControlOptions {
             address: settings.control_address,
--- a/crates/auburnbridge/src/commands/keeper.rs
+++ b/crates/auburnbridge/src/commands/keeper.rs
@@ -47,7 +47,7 @@
         metrics_address: settings.metrics_address,
         operator_address: settings.operator_address,
         operator_keys: operator_keys(&settings.operator_keys)?,
-        ..KeeperOptions::listed(
+        ..KeeperOptions::new(
             own,
             PeerSecurity::MutualTls(settings.keys),
             settings.data_folder,
@@ -71,12 +71,12 @@
     let keeper = Keeper::start(options)
         .await
         .map_err(|report| Failure::from_report(&report))?;
-    let failed = async {
-        while !keeper.has_failed() {
+    let ended = async {
+        while !keeper.has_ended() {
             task::sleep(FAILURE_CHECK_INTERVAL).await;
         }
     };
-    stopped.or(failed).await;
+    stopped.or(ended).await;
     keeper
         .stop()
         .await
--- a/crates/auburnbridge_capacity/src/keeper.rs
+++ b/crates/auburnbridge_capacity/src/keeper.rs
@@ -114,7 +114,7 @@
         .collect();
     let mut keepers = Vec::new();
     for own in &addresses {
-        let options = KeeperOptions::listed(
+        let options = KeeperOptions::new(
             own.clone(),
             PeerSecurity::MutualTls(issue_keys(own.vm.as_str(), Role::Keeper)),
             folder.join(format!("data-{}", own.vm)),
--- a/crates/auburnbridge_keeper/src/core.rs
+++ b/crates/auburnbridge_keeper/src/core.rs
@@ -105,11 +105,11 @@
 
 /// Who may join the group, and how many voters it needs to accept commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Admission {
+pub struct MembershipPolicy {
     /// Whether keepers on VMs without a member may join.
     pub admits_new_vms: bool,
     /// Minimum number of voters for the group to accept commands.
-    pub least_voters: usize,
+    pub min_voters: usize,
 }
 
 /// Status of a keeper, as reported to other threads.
@@ -175,7 +175,7 @@
 /// Settings of a [`Core`].
 pub struct CoreOptions {
     /// Who may join, and when commands are accepted.
-    pub admission: Admission,
+    pub membership_policy: MembershipPolicy,
     /// Receives notifications of committed changes.
     pub observer: Option<Arc<dyn CommitObserver>>,
     /// Interval of the replica's ticks while no events arrive.
@@ -193,7 +193,7 @@
     next_token: u64,
     commits: CommitCounts,
     metrics: Metrics,
-    admission: Admission,
+    membership_policy: MembershipPolicy,
     observer: Option<Arc<dyn CommitObserver>>,
     tick: Duration,
 }
@@ -218,7 +218,7 @@
         clock: Arc<dyn Clock>,
         metrics: Metrics,
         CoreOptions {
-            admission,
+            membership_policy,
             observer,
             tick,
         }: CoreOptions,
@@ -233,7 +233,7 @@
             next_token: 0,
             commits: CommitCounts::default(),
             metrics,
-            admission,
+            membership_policy,
             observer,
             tick,
         };
@@ -287,7 +287,7 @@
 
     /// Whether the group has enough voters for a command to survive the tolerated number of losses.
     fn accepts_proposals(&self) -> bool {
-        self.replica.members().voters().count() >= self.admission.least_voters
+        self.replica.members().voters().count() >= self.membership_policy.min_voters
     }
 
     fn handle_event(&mut self, event: Event) -> Vec<Output> {
@@ -369,11 +369,13 @@
                 let _ = reply.try_send(Ok(()));
                 return Vec::new();
             }
-            (None, None) if self.admission.admits_new_vms => MemberChange::AddLearner(Member {
-                replica,
-                vm,
-                role: MemberRole::Learner,
-            }),
+            (None, None) if self.membership_policy.admits_new_vms => {
+                MemberChange::AddLearner(Member {
+                    replica,
+                    vm,
+                    role: MemberRole::Learner,
+                })
+            }
             (None, None) => {
                 warn!("keeper join refused vm={vm}: no member of the group is on this VM");
                 let _ = reply.try_send(Err(RejectReason::InvalidChange));
--- a/crates/auburnbridge_keeper/src/formation.rs
+++ b/crates/auburnbridge_keeper/src/formation.rs
@@ -29,7 +29,7 @@
     /// The keepers in the order of the settings; they may change while the process runs.
     pub(crate) keepers: Arc<Mutex<Vec<PeerAddress>>>,
     /// Whether this keeper may found a group, which happens only at the first start of a fleet.
-    pub(crate) may_found: bool,
+    pub(crate) may_found_group: bool,
     pub(crate) directory: PeerDirectory,
     pub(crate) transport: Arc<dyn Transport>,
     pub(crate) clock: Arc<dyn Clock>,
@@ -124,7 +124,7 @@
         keepers: &[PeerAddress],
         hellos: &[Option<KeeperHello>],
     ) -> Option<Members> {
-        if !self.may_found || keepers.first()?.vm != self.vm {
+        if !self.may_found_group || keepers.first()?.vm != self.vm {
             return None;
         }
         let mut members = vec![voter(self.vm.clone(), self.replica)];
--- a/crates/auburnbridge_keeper/src/lib.rs
+++ b/crates/auburnbridge_keeper/src/lib.rs
@@ -18,8 +18,8 @@
 pub use catalogue::{Catalogue, LeavingTarget};
 pub use control::ControlService;
 pub use core::{
-    Admission, CommitCounts, CommitObserver, Core, CoreError, CoreHandle, CoreOptions, Event,
-    KeeperStatus, LogTransport, QUEUE_CAPACITY,
+    CommitCounts, CommitObserver, Core, CoreError, CoreHandle, CoreOptions, Event, KeeperStatus,
+    LogTransport, MembershipPolicy, QUEUE_CAPACITY,
 };
 pub use directory::PeerDirectory;
 pub use group_client::{GroupClient, Unavailable};
--- a/crates/auburnbridge_keeper/src/run.rs
+++ b/crates/auburnbridge_keeper/src/run.rs
@@ -27,8 +27,8 @@
 use crate::catalogue::Catalogue;
 use crate::control::ControlService;
 use crate::core::{
-    Admission, CommitCounts, CommitObserver, Core, CoreError, CoreHandle, CoreOptions, Event,
-    LogTransport,
+    CommitCounts, CommitObserver, Core, CoreError, CoreHandle, CoreOptions, Event, LogTransport,
+    MembershipPolicy,
 };
 use crate::directory::PeerDirectory;
 use crate::formation::Formation;
@@ -78,11 +78,11 @@
     /// The list may be replaced while the keeper runs.
     pub keepers: Arc<Mutex<Vec<PeerAddress>>>,
     /// Whether this keeper may found a group.
-    pub may_found: bool,
+    pub may_found_group: bool,
     /// Who may join the group, and how many voters it needs to accept commands.
-    pub admission: Admission,
+    pub membership_policy: MembershipPolicy,
     /// Whether VMs are named by their IP addresses and all keepers use the port of `peer_address`.
-    pub vms_are_addresses: bool,
+    pub vms_named_by_ip: bool,
     /// Interval of the leader's heartbeats; the tick interval is a fraction of it.
     pub heartbeat_interval: Millis,
     /// Options of the control interface, if it is served.
@@ -101,7 +101,7 @@
 
 impl KeeperOptions {
     /// Creates the options of a keeper whose settings name all keepers; other options have defaults.
-    pub fn listed(
+    pub fn new(
         own: PeerAddress,
         security: PeerSecurity,
         data_folder: PathBuf,
@@ -113,12 +113,12 @@
             security,
             data_folder,
             keepers: Arc::new(Mutex::new(keepers)),
-            may_found: true,
-            admission: Admission {
+            may_found_group: true,
+            membership_policy: MembershipPolicy {
                 admits_new_vms: false,
-                least_voters: 1,
+                min_voters: 1,
             },
-            vms_are_addresses: false,
+            vms_named_by_ip: false,
             heartbeat_interval: DEFAULT_HEARTBEAT_INTERVAL,
             control: None,
             log: Config::default(),
@@ -206,7 +206,7 @@
     }
 
     /// Whether the [`Core`] thread has ended; [`Keeper::stop`] returns the reason.
-    pub fn has_failed(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.thread.is_finished()
     }
 
@@ -245,7 +245,7 @@
 
 fn peer_directory(options: &KeeperOptions) -> PeerDirectory {
     let directory = PeerDirectory::new(&options.keepers.lock());
-    if options.vms_are_addresses {
+    if options.vms_named_by_ip {
         directory.with_shared_port(options.peer_address.port())
     } else {
         directory
@@ -281,7 +281,7 @@
         Arc::clone(clock),
         Metrics::new(options.metrics_address).change_context(KeeperError)?,
         CoreOptions {
-            admission: options.admission,
+            membership_policy: options.membership_policy,
             observer: Some(Arc::clone(catalogue) as Arc<dyn CommitObserver>),
             tick: Duration::from_millis(options.heartbeat_interval.0 / TICKS_PER_HEARTBEAT),
         },
@@ -374,7 +374,7 @@
             vm: options.vm,
             replica,
             keepers: options.keepers,
-            may_found: options.may_found,
+            may_found_group: options.may_found_group,
             directory: self.directory,
             transport: self.transport,
             clock: self.clock,
