--- a/crates/auburnbridge/src/commands/control.rs
+++ b/crates/auburnbridge/src/commands/control.rs
@@ -80,6 +80,6 @@
 fn keeper_addresses(seeds: &[SocketAddr], peer_port: u16) -> Vec<PeerAddress> {
     seeds
         .iter()
-        .map(|seed| PeerAddress::at(seed.ip(), peer_port))
+        .map(|seed| PeerAddress::from_ip(seed.ip(), peer_port))
         .collect()
 }
--- a/crates/auburnbridge_gateway/src/feed.rs
+++ b/crates/auburnbridge_gateway/src/feed.rs
@@ -85,7 +85,7 @@
         let named = known_keepers.iter().filter_map(VmId::ip);
         let all: BTreeSet<IpAddr> = named.chain(seeds).collect();
         all.into_iter()
-            .map(|ip| PeerAddress::at(ip, self.keeper_port))
+            .map(|ip| PeerAddress::from_ip(ip, self.keeper_port))
             .collect()
     }
 
--- a/crates/auburnbridge_gateway/src/run.rs
+++ b/crates/auburnbridge_gateway/src/run.rs
@@ -243,8 +243,8 @@
         .message_limit(MESSAGE_LIMIT)
         .clock(Arc::clone(clock))
         .connect_timeout(KEEPER_CONNECT_TIMEOUT)
-        .first_backoff(KEEPER_MIN_BACKOFF)
-        .last_backoff(KEEPER_MAX_BACKOFF)
+        .initial_backoff(KEEPER_MIN_BACKOFF)
+        .max_backoff(KEEPER_MAX_BACKOFF)
         .build();
     let transport: Arc<dyn Transport> = Arc::new(PlainTransport::new(identity, peer_options));
     Feed {
--- a/crates/auburnbridge_keeper/src/directory.rs
+++ b/crates/auburnbridge_keeper/src/directory.rs
@@ -41,6 +41,6 @@
         if let Some(configured) = self.configured.get(vm) {
             return Some(configured.clone());
         }
-        Some(PeerAddress::at(vm.ip()?, self.shared_port?))
+        Some(PeerAddress::from_ip(vm.ip()?, self.shared_port?))
     }
 }
--- a/crates/auburnbridge_keeper/src/peers.rs
+++ b/crates/auburnbridge_keeper/src/peers.rs
@@ -19,8 +19,8 @@
 const CONNECT_TIMEOUT: Millis = Millis(400);
 /// First and longest wait between attempts to connect. After a complete power loss, the longest wait
 /// bounds how soon the group can form again.
-const FIRST_BACKOFF: Millis = Millis(20);
-const LAST_BACKOFF: Millis = Millis(200);
+const INITIAL_BACKOFF: Millis = Millis(20);
+const MAX_BACKOFF: Millis = Millis(200);
 
 /// How messages between processes are protected.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -69,8 +69,8 @@
             .message_limit(MESSAGE_LIMIT)
             .clock(Arc::clone(clock))
             .connect_timeout(CONNECT_TIMEOUT)
-            .first_backoff(FIRST_BACKOFF)
-            .last_backoff(LAST_BACKOFF)
+            .initial_backoff(INITIAL_BACKOFF)
+            .max_backoff(MAX_BACKOFF)
             .build();
         Ok(match &options.security {
             PeerSecurity::MutualTls(folder) => {
--- a/crates/auburnbridge_peer/src/client.rs
+++ b/crates/auburnbridge_peer/src/client.rs
@@ -449,9 +449,9 @@
         let (backoff, repeated) = match &*state {
             LinkState::Failed { backoff, .. } => {
                 let doubled = Millis(backoff.0.saturating_mul(2));
-                (doubled.min(options.last_backoff), true)
+                (doubled.min(options.max_backoff), true)
             }
-            LinkState::Idle | LinkState::Open(_) => (options.first_backoff, false),
+            LinkState::Idle | LinkState::Open(_) => (options.initial_backoff, false),
         };
         *state = LinkState::Failed {
             keys,
--- a/crates/auburnbridge_peer/src/identity.rs
+++ b/crates/auburnbridge_peer/src/identity.rs
@@ -57,7 +57,7 @@
 
 impl PeerAddress {
     /// Address of the process at `ip` in a fleet whose VMs are named after their IP addresses.
-    pub fn at(ip: IpAddr, port: u16) -> Self {
+    pub fn from_ip(ip: IpAddr, port: u16) -> Self {
         Self {
             vm: ip.into(),
             address: SocketAddr::new(ip, port),
--- a/crates/auburnbridge_peer/src/options.rs
+++ b/crates/auburnbridge_peer/src/options.rs
@@ -18,8 +18,8 @@
     pub(crate) idle_timeout: Millis,
     pub(crate) keep_alive_interval: Millis,
     pub(crate) connect_timeout: Millis,
-    pub(crate) first_backoff: Millis,
-    pub(crate) last_backoff: Millis,
+    pub(crate) initial_backoff: Millis,
+    pub(crate) max_backoff: Millis,
     pub(crate) queued_messages: usize,
     pub(crate) queued_bytes: ByteSize,
 }
@@ -37,8 +37,8 @@
             // Two keep-alive packets may be lost before the idle timeout closes the connection.
             keep_alive_interval: Millis(1_000),
             connect_timeout: Millis(1_000),
-            first_backoff: Millis(50),
-            last_backoff: Millis(1_000),
+            initial_backoff: Millis(50),
+            max_backoff: Millis(1_000),
             queued_messages: 256,
             queued_bytes: ByteSize(4 << 20),
         }
@@ -98,9 +98,9 @@
     /// Timeout of an attempt to connect.
     connect_timeout: Millis,
     /// Backoff after the first failed attempt to connect; it doubles after each further failure.
-    first_backoff: Millis,
+    initial_backoff: Millis,
     /// Maximum backoff between two attempts to connect.
-    last_backoff: Millis,
+    max_backoff: Millis,
     /// Maximum number of one-way messages queued for one peer.
     queued_messages: usize,
     /// Maximum total size of the one-way messages queued for one peer.
--- a/crates/auburnbridge_peer/src/plain/client.rs
+++ b/crates/auburnbridge_peer/src/plain/client.rs
@@ -161,7 +161,7 @@
 
 impl Link {
     async fn run(self: Arc<Self>, queue: Receiver<Frame>) {
-        let mut backoff = self.options.first_backoff;
+        let mut backoff = self.options.initial_backoff;
         loop {
             let first = async { queue.recv().await.ok() };
             let idle = async {
@@ -173,7 +173,7 @@
             };
             match self.connect().await {
                 Ok(stream) => {
-                    backoff = self.options.first_backoff;
+                    backoff = self.options.initial_backoff;
                     let reason = self.serve(&stream, first, &queue).await;
                     self.fail_pending(&PeerError::ConnectionLost { reason });
                 }
@@ -181,7 +181,7 @@
                     log::debug!("can't connect to {}: {reason}", self.address);
                     self.drop_queued(&queue, &PeerError::Unreachable { reason });
                     self.options.clock.sleep(backoff).await;
-                    backoff = Millis(backoff.0 * 2).min(self.options.last_backoff);
+                    backoff = Millis(backoff.0 * 2).min(self.options.max_backoff);
                 }
             }
         }
--- a/crates/auburnbridge_peer/tests/plain.rs
+++ b/crates/auburnbridge_peer/tests/plain.rs
@@ -50,8 +50,8 @@
 fn options() -> Options {
     Options::builder()
         .connect_timeout(Millis(200))
-        .first_backoff(Millis(10))
-        .last_backoff(Millis(20))
+        .initial_backoff(Millis(10))
+        .max_backoff(Millis(20))
         .message_limit(ByteSize(1_000))
         .build()
 }
