--- a/crates/auburnbridge_log/tests/cluster/mod.rs
+++ b/crates/auburnbridge_log/tests/cluster/mod.rs
@@ -308,7 +308,7 @@
         };
         let files = &self.nodes[node].files;
         if let Some(persist) = process.in_flight_write {
-            files.stop_at(files.operations() + self.rng.random_range(1..6));
+            files.fail_from(files.operations() + self.rng.random_range(1..6));
             // Fails at the chosen operation, or succeeds if the write has fewer operations.
             let _ = process.store.persist(&persist);
         }
@@ -319,7 +319,7 @@
     pub fn save_copy(&mut self, node: usize) {
         let node = &mut self.nodes[node];
         node.saved_copies
-            .push((node.boot_counter, node.files.copy()));
+            .push((node.boot_counter, node.files.copy_synced()));
     }
 
     /// Whether the protocol guarantees that an older copy of the node's data folder is detected: its
@@ -481,7 +481,7 @@
         number += 1;
         number
     };
-    let files = Box::new(files.copy());
+    let files = Box::new(files.copy_synced());
     let (_, recovered) = Store::open_files(files, random).expect("the data folder is valid");
     recovered
 }
--- a/crates/auburnbridge_store/src/memory.rs
+++ b/crates/auburnbridge_store/src/memory.rs
@@ -26,7 +26,7 @@
     locked: bool,
     crashes: u64,
     operations: u64,
-    stop_at: Option<u64>,
+    fail_from: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -99,8 +99,8 @@
 
     /// Fails the operation with this number and all later ones. A write that fails at this number
     /// still writes half of its bytes.
-    pub fn stop_at(&self, operation: u64) {
-        self.disk().stop_at = Some(operation);
+    pub fn fail_from(&self, operation: u64) {
+        self.disk().fail_from = Some(operation);
     }
 
     /// Simulates a crash and returns the files as the restarted process finds them. `choose`
@@ -122,7 +122,7 @@
         disk.names = names;
         disk.unsynced_changes.clear();
         disk.locked = false;
-        disk.stop_at = None;
+        disk.fail_from = None;
         disk.crashes += 1;
         let generation = disk.crashes;
         drop(disk);
@@ -134,7 +134,7 @@
 
     /// An independent copy of the synced state of the folder, as a backup would have it.
     #[must_use]
-    pub fn copy(&self) -> Self {
+    pub fn copy_synced(&self) -> Self {
         let disk = self.disk();
         let mut contents = disk.contents.clone();
         for content in &mut contents {
@@ -168,9 +168,9 @@
             return Err(false);
         }
         disk.operations += 1;
-        match disk.stop_at {
-            Some(stop) if disk.operations == stop => Err(true),
-            Some(stop) if disk.operations > stop => Err(false),
+        match disk.fail_from {
+            Some(first) if disk.operations == first => Err(true),
+            Some(first) if disk.operations > first => Err(false),
             Some(_) | None => Ok(()),
         }
     }
--- a/crates/auburnbridge_store/tests/recovery.rs
+++ b/crates/auburnbridge_store/tests/recovery.rs
@@ -208,12 +208,12 @@
 /// Stops at `operation`, crashes and checks the recovery, which is itself interrupted three times.
 fn check_crash_at(operation: u64, writes: usize, seed: u64) {
     let files = MemoryFiles::new();
-    files.stop_at(operation);
+    files.fail_from(operation);
     let (before, after) = write_until_stopped(&files, writes, seed);
     let mut rng = SeededRng(operation ^ seed);
     let mut files = files.crash(|limit| rng.below(limit));
     for stop in 1..4 {
-        files.stop_at(files.operations() + stop);
+        files.fail_from(files.operations() + stop);
         let _ = open(&files, &mut rng);
         files = files.crash(|limit| rng.below(limit));
     }
