--- a/crates/auburnbridge/tests/processes/soak/callers.rs
+++ b/crates/auburnbridge/tests/processes/soak/callers.rs
@@ -7,7 +7,7 @@
 use async_std::future::timeout;
 use async_std::net::TcpStream;
 use async_std::task;
-use auburnbridge_http::{Connection, Limits, Request, RequestInfo, Response, Verdict};
+use auburnbridge_http::{Connection, KeepAlive, Limits, Request, RequestInfo, Response};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -128,7 +128,7 @@
             .read_response(RequestInfo::from(req), &limits)
             .await
             .ok()?;
-        let stays_open = response.verdict == Verdict::Reuse;
+        let stays_open = response.keep_alive == KeepAlive::Reuse;
         Some((response, stays_open))
     })
     .await
--- a/crates/auburnbridge_caller/src/listener.rs
+++ b/crates/auburnbridge_caller/src/listener.rs
@@ -8,7 +8,7 @@
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
 use auburnbridge_http::{
-    Connection, FramingError, Limits, Request, RequestInfo, Response, Verdict,
+    Connection, FramingError, KeepAlive, Limits, Request, RequestInfo, Response,
 };
 use auburnbridge_types::{BoxFuture, Clock, ErrorKind, Millis, RuntimeClock};
 use futures_lite::FutureExt;
@@ -216,8 +216,8 @@
     async fn serve_connection(&self, mut connection: Connection<TcpStream>, caller: SocketAddr) {
         while let IdleOutcome::RequestStarted = self.wait_for_request(&mut connection).await {
             match self.serve_request(&mut connection, caller).await {
-                Verdict::Reuse => {}
-                Verdict::Retire => break,
+                KeepAlive::Reuse => {}
+                KeepAlive::Close => break,
             }
         }
         close_gracefully(&mut connection, self.options.clock.as_ref()).await;
@@ -247,7 +247,7 @@
         &self,
         connection: &mut Connection<TcpStream>,
         caller: SocketAddr,
-    ) -> Verdict {
+    ) -> KeepAlive {
         let (limits, timeout) = (&self.options.limits, self.options.request_timeout);
         let req = match self.read_request(connection, caller, limits, timeout).await {
             Ok(req) => req,
@@ -255,40 +255,40 @@
                 if let Some(kind) = kind {
                     let info = RequestInfo::default();
                     let _ = connection
-                        .write_response(&unread_response(kind), info, Verdict::Retire)
+                        .write_response(&unread_response(kind), info, KeepAlive::Close)
                         .await;
                 }
-                return Verdict::Retire;
+                return KeepAlive::Close;
             }
         };
         let info = RequestInfo::from(&req);
-        let requested_verdict = req.verdict;
+        let requested_keep_alive = req.keep_alive;
         let Some(_in_flight) = self.lifecycle.begin_request() else {
             let response = Problem::new(ErrorKind::ShuttingDown, "the entry is shutting down")
                 .for_possible_resend()
                 .to_response();
             let _ = connection
-                .write_response(&response, info, Verdict::Retire)
+                .write_response(&response, info, KeepAlive::Close)
                 .await;
-            return Verdict::Retire;
+            return KeepAlive::Close;
         };
         let response = self.respond(connection, req, caller).await;
-        let verdict = if self.lifecycle.phase() == Phase::Serving {
-            requested_verdict
+        let keep_alive = if self.lifecycle.phase() == Phase::Serving {
+            requested_keep_alive
         } else {
-            Verdict::Retire
+            KeepAlive::Close
         };
         // A caller that reads nothing would keep the request in flight and delay a shutdown.
-        let write = connection.write_response(&response, info, verdict);
+        let write = connection.write_response(&response, info, keep_alive);
         let timer = async {
             self.options.clock.sleep(self.options.write_timeout).await;
             Err(FramingError::Io(std::io::ErrorKind::TimedOut))
         };
         match write.or(timer).await {
-            Ok(()) => verdict,
+            Ok(()) => keep_alive,
             Err(error) => {
                 debug!("can't write the response to {caller}: {error}");
-                Verdict::Retire
+                KeepAlive::Close
             }
         }
     }
@@ -326,7 +326,7 @@
     ) -> Response {
         // A caller that asked to close the connection after this response may already have closed
         // its sending side, which is not a disconnect.
-        let may_half_close = req.verdict == Verdict::Retire;
+        let may_half_close = req.keep_alive == KeepAlive::Close;
         let (signal, disconnect) = Disconnect::new();
         let watch = async {
             let bytes = connection.wait_for_bytes().await;
--- a/crates/auburnbridge_caller/src/pipeline.rs
+++ b/crates/auburnbridge_caller/src/pipeline.rs
@@ -16,7 +16,7 @@
 use async_std::net::TcpStream;
 use async_std::task;
 use auburnbridge_http::{
-    Connection, Limits, Request, RequestInfo, Response, Verdict, encode_response,
+    Connection, KeepAlive, Limits, Request, RequestInfo, Response, encode_response,
 };
 use auburnbridge_types::{ErrorKind, Millis};
 use futures_lite::FutureExt;
@@ -46,8 +46,8 @@
 /// A request whose response is not written yet.
 struct PendingResponse {
     info: RequestInfo,
-    /// `Retire` if the connection must close after this response.
-    requested_verdict: Verdict,
+    /// `Close` if the connection must close after this response.
+    requested_keep_alive: KeepAlive,
     response_rx: Receiver<Response>,
     _guard: Option<TaskGuard>,
 }
@@ -107,9 +107,9 @@
             let Some(pending_response) = pending_response else {
                 break;
             };
-            let requested_verdict = pending_response.requested_verdict;
+            let requested_keep_alive = pending_response.requested_keep_alive;
             if pending_tx.send(pending_response).await.is_err()
-                || requested_verdict == Verdict::Retire
+                || requested_keep_alive == KeepAlive::Close
             {
                 break;
             }
@@ -167,13 +167,13 @@
         }
         let (tx, response_rx) = async_channel::bounded(1);
         let info = RequestInfo::from(&req);
-        let requested_verdict = req.verdict;
+        let requested_keep_alive = req.keep_alive;
         let Some(guard) = self.lifecycle.begin_request() else {
             let problem = Problem::new(ErrorKind::ShuttingDown, "the process is shutting down");
             send_response(&tx, problem.for_possible_resend().to_response());
             return Some(PendingResponse {
                 info,
-                requested_verdict: Verdict::Retire,
+                requested_keep_alive: KeepAlive::Close,
                 response_rx,
                 _guard: None,
             });
@@ -186,7 +186,7 @@
         });
         Some(PendingResponse {
             info,
-            requested_verdict,
+            requested_keep_alive,
             response_rx,
             _guard: Some(guard),
         })
@@ -204,9 +204,9 @@
             let Ok(response) = next.response_rx.recv().await else {
                 break;
             };
-            let verdict = self.next_verdict(next.requested_verdict, state);
+            let keep_alive = self.next_keep_alive(next.requested_keep_alive, state);
             let mut buf = Vec::new();
-            encode_response(&response, next.info, verdict, &mut buf);
+            encode_response(&response, next.info, keep_alive, &mut buf);
             let write = async { stream.write_all(&buf).await };
             let timer = async {
                 self.options.clock.sleep(self.options.write_timeout).await;
@@ -218,7 +218,7 @@
                 debug!("can't write the response to {caller}: {error}");
                 break;
             }
-            if verdict == Verdict::Retire {
+            if keep_alive == KeepAlive::Close {
                 closing = Shutdown::Write;
                 break;
             }
@@ -232,16 +232,16 @@
 
     /// Decides whether the response that is written next closes the connection, and stops
     /// dispatching requests if the connection is to close.
-    fn next_verdict(&self, requested_verdict: Verdict, state: &PipelineState) -> Verdict {
-        if requested_verdict == Verdict::Reuse && self.lifecycle.phase() == Phase::Serving {
-            return Verdict::Reuse;
+    fn next_keep_alive(&self, requested_keep_alive: KeepAlive, state: &PipelineState) -> KeepAlive {
+        if requested_keep_alive == KeepAlive::Reuse && self.lifecycle.phase() == Phase::Serving {
+            return KeepAlive::Reuse;
         }
         state.is_closing.store(true, Ordering::SeqCst);
         // Requests dispatched after this one must still be answered.
         if state.pending.load(Ordering::SeqCst) > 1 {
-            return Verdict::Reuse;
+            return KeepAlive::Reuse;
         }
-        Verdict::Retire
+        KeepAlive::Close
     }
 
     /// Reports the caller's disconnect to the requests in flight.
@@ -274,7 +274,7 @@
     send_response(&tx, unread_response(kind));
     PendingResponse {
         info: RequestInfo::default(),
-        requested_verdict: Verdict::Retire,
+        requested_keep_alive: KeepAlive::Close,
         response_rx,
         _guard: None,
     }
--- a/crates/auburnbridge_caller/tests/pipeline.rs
+++ b/crates/auburnbridge_caller/tests/pipeline.rs
@@ -9,7 +9,7 @@
 use async_std::net::TcpStream;
 use async_std::task::{self, block_on};
 use auburnbridge_caller::{Disconnect, Lifecycle, LimitSource, Listener, ListenerOptions, Service};
-use auburnbridge_http::{Connection, Limits, Request, RequestInfo, Response, Verdict};
+use auburnbridge_http::{Connection, KeepAlive, Limits, Request, RequestInfo, Response};
 use auburnbridge_types::{BoxFuture, Millis};
 use parking_lot::Mutex;
 
@@ -170,7 +170,7 @@
         let fixture = start().await;
         fixture.lifecycle.begin_draining();
         let mut connection = connect(&fixture, &[get("/1")]).await;
-        assert_eq!(read(&mut connection).await.verdict, Verdict::Retire);
+        assert_eq!(read(&mut connection).await.keep_alive, KeepAlive::Close);
         // The close may reset the connection under this write.
         let _ = connection.get_mut().write_all(get("/2").as_bytes()).await;
         task::sleep(Duration::from_millis(100)).await;
--- a/crates/auburnbridge_capacity/src/gossip.rs
+++ b/crates/auburnbridge_capacity/src/gossip.rs
@@ -1,7 +1,7 @@
 //! Measures announcements: memory, rumours, merging and the comparison of two entries.
 
 use auburnbridge_http::{
-    Request as HttpRequest, RequestInfo, Response, Verdict, encode_request, encode_response,
+    KeepAlive, Request as HttpRequest, RequestInfo, Response, encode_request, encode_response,
 };
 use auburnbridge_membership::{Announced, EntryMembership, Gossip, Membership, TargetMembership};
 use auburnbridge_messages::{Reply, Request};
@@ -265,6 +265,6 @@
     response.headers.append("Content-Type", "application/json");
     response.body = br#"{"verdict":"accepted"}"#.to_vec().into();
     let info = RequestInfo::default();
-    encode_response(&response, info, Verdict::Reuse, &mut encoded);
+    encode_response(&response, info, KeepAlive::Reuse, &mut encoded);
     (encoded.len() + HTTP_PACKETS * TCP_HEADER_BYTES) as f64
 }
--- a/crates/auburnbridge_capacity/src/http.rs
+++ b/crates/auburnbridge_capacity/src/http.rs
@@ -2,7 +2,7 @@
 
 use async_std::task;
 use auburnbridge_http::{
-    Connection, Limits, Request, RequestInfo, Response, Verdict, encode_request, encode_response,
+    Connection, KeepAlive, Limits, Request, RequestInfo, Response, encode_request, encode_response,
 };
 use futures_lite::io::Cursor;
 
@@ -45,7 +45,7 @@
         let info = RequestInfo::default();
         let response = response(bytes);
         let mut encoded = Vec::new();
-        encode_response(&response, info, Verdict::Reuse, &mut encoded);
+        encode_response(&response, info, KeepAlive::Reuse, &mut encoded);
         let read = nanos_per_call(|| {
             let mut connection = Connection::new(Cursor::new(encoded.clone()));
             task::block_on(connection.read_response(info, &limits))
@@ -54,7 +54,7 @@
         report.record(READ_RESPONSE, bytes, read / 1e3);
         let write = nanos_per_call(|| {
             let mut buf = Vec::new();
-            encode_response(&response, info, Verdict::Reuse, &mut buf);
+            encode_response(&response, info, KeepAlive::Reuse, &mut buf);
             buf
         });
         report.record(WRITE_RESPONSE, bytes, write / 1e3);
--- a/crates/auburnbridge_entry/src/attempt.rs
+++ b/crates/auburnbridge_entry/src/attempt.rs
@@ -205,7 +205,7 @@
 /// Request as it is sent to a target.
 fn outgoing_request(req: &CallerRequest, attempt: &AttemptId, now: Timestamp) -> Request {
     let mut message = req.message.clone();
-    message.verdict = auburnbridge_http::Verdict::Reuse;
+    message.keep_alive = auburnbridge_http::KeepAlive::Reuse;
     let remaining = req.deadline.since(now);
     message
         .headers
--- a/crates/auburnbridge_entry/src/keyed.rs
+++ b/crates/auburnbridge_entry/src/keyed.rs
@@ -3,7 +3,7 @@
 
 use async_std::io::Cursor;
 use auburnbridge_caller::Problem;
-use auburnbridge_http::{Connection, Limits, RequestInfo, Response, Verdict, encode_response};
+use auburnbridge_http::{Connection, KeepAlive, Limits, RequestInfo, Response, encode_response};
 use auburnbridge_ledger::{Command, LedgerKey, MAX_ANSWER_SIZE, Reply, StoredAnswer};
 use auburnbridge_types::{AttemptId, ByteSize, ErrorKind, Millis};
 use log::info;
@@ -134,7 +134,7 @@
 ) -> Command {
     let mut encoded = Vec::new();
     let info = RequestInfo::from(&req.message);
-    encode_response(response, info, Verdict::Reuse, &mut encoded);
+    encode_response(response, info, KeepAlive::Reuse, &mut encoded);
     Command::Conclude {
         key,
         attempt,
--- a/crates/auburnbridge_gateway/src/exchange.rs
+++ b/crates/auburnbridge_gateway/src/exchange.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use async_std::task;
-use auburnbridge_http::{FramingError, Request, Response, Verdict};
+use auburnbridge_http::{FramingError, KeepAlive, Request, Response};
 use auburnbridge_policy::balance::Finding;
 use auburnbridge_policy::{CrashReport, RequestClass};
 use auburnbridge_target::{Exchange, ExchangeResult, NotSent, Unknown, refuses_connections};
@@ -107,7 +107,7 @@
     /// The request as sent to a target, with the remaining time and the expected target.
     fn outgoing_request(&self, assignment: &Assignment, now: Timestamp) -> Request {
         let mut request = self.incoming.request.clone();
-        request.verdict = Verdict::Reuse;
+        request.keep_alive = KeepAlive::Reuse;
         let left = self.incoming.deadline.since(now);
         let headers = self.gateway.headers;
         request.headers.set(headers.deadline, left.0.to_string());
--- a/crates/auburnbridge_http/examples/codec_cost.rs
+++ b/crates/auburnbridge_http/examples/codec_cost.rs
@@ -8,7 +8,7 @@
 use async_std::io::Cursor;
 use async_std::task;
 use auburnbridge_http::{
-    Connection, Limits, Request, RequestInfo, Response, Verdict, encode_request, encode_response,
+    Connection, KeepAlive, Limits, Request, RequestInfo, Response, encode_request, encode_response,
 };
 
 /// Messages on one connection; each read returns about twenty of them.
@@ -55,7 +55,7 @@
     measure("encode response", || {
         for _ in 0..MESSAGES {
             buf.clear();
-            encode_response(black_box(&response), info, Verdict::Reuse, &mut buf);
+            encode_response(black_box(&response), info, KeepAlive::Reuse, &mut buf);
         }
     });
 }
--- a/crates/auburnbridge_http/src/connection.rs
+++ b/crates/auburnbridge_http/src/connection.rs
@@ -10,7 +10,7 @@
 use crate::chunked::parse_chunk_size;
 use crate::encode::{CONTINUE, encode_request, encode_response};
 use crate::head::{self, Framing};
-use crate::{Body, FramingError, Limits, Request, RequestInfo, Response, Verdict};
+use crate::{Body, FramingError, KeepAlive, Limits, Request, RequestInfo, Response};
 
 const READ_BYTES: usize = 8 * 1024;
 /// Increment in which a body buffer grows; the budget is charged for it before its bytes arrive.
@@ -91,16 +91,16 @@
 
     /// Writes the response to the request of `info` in one write.
     ///
-    /// With the verdict `Retire`, the response carries `Connection: close`; closing the connection
+    /// With [`KeepAlive::Close`], the response carries `Connection: close`; closing the connection
     /// is up to the caller of this method.
     pub async fn write_response(
         &mut self,
         response: &Response,
         info: RequestInfo,
-        verdict: Verdict,
+        keep_alive: KeepAlive,
     ) -> Result<(), FramingError> {
         let mut buf = Vec::new();
-        encode_response(response, info, verdict, &mut buf);
+        encode_response(response, info, keep_alive, &mut buf);
         self.write(&buf).await
     }
 
@@ -127,7 +127,7 @@
             path: head.path,
             headers: head.headers,
             body,
-            verdict: head.verdict,
+            keep_alive: head.keep_alive,
         })
     }
 }
@@ -148,17 +148,17 @@
             }
             check_announced_length(head.framing, limits)?;
             let body = self.read_body(head.framing, limits).await?;
-            let verdict = if self.leftover().is_empty() {
-                head.verdict
+            let keep_alive = if self.leftover().is_empty() {
+                head.keep_alive
             } else {
-                Verdict::Retire
+                KeepAlive::Close
             };
             return Ok(Response {
                 status: head.status,
                 headers: head.headers,
                 body,
                 announced_length: head.announced_length,
-                verdict,
+                keep_alive,
             });
         }
         Err(FramingError::TooManyInterim)
--- a/crates/auburnbridge_http/src/encode.rs
+++ b/crates/auburnbridge_http/src/encode.rs
@@ -8,7 +8,7 @@
 
 use http_types::StatusCode;
 
-use crate::{Request, RequestInfo, Response, Verdict};
+use crate::{KeepAlive, Request, RequestInfo, Response};
 
 /// The interim response to `Expect: 100-continue`.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
@@ -40,7 +40,7 @@
     if !request.body.is_empty() || !BODILESS_METHODS.contains(&request.method.as_str()) {
         encode_content_length(request.body.len() as u64, buf);
     }
-    if request.verdict == Verdict::Retire {
+    if request.keep_alive == KeepAlive::Close {
         buf.extend_from_slice(b"Connection: close\r\n");
     }
     buf.extend_from_slice(b"\r\n");
@@ -49,12 +49,12 @@
 
 /// Appends the encoded response to the request of `info` to `buf`.
 ///
-/// `verdict` applies to the connection that carries the response; the response's own verdict
-/// applies to the connection it was read from.
+/// `keep_alive` applies to the connection that carries the response; the response's own
+/// `keep_alive` applies to the connection it was read from.
 pub fn encode_response(
     response: &Response,
     info: RequestInfo,
-    verdict: Verdict,
+    keep_alive: KeepAlive,
     buf: &mut Vec<u8>,
 ) {
     buf.reserve(
@@ -69,7 +69,7 @@
     if let Some(length) = content_length(response, info) {
         encode_content_length(length, buf);
     }
-    if verdict == Verdict::Retire {
+    if keep_alive == KeepAlive::Close {
         buf.extend_from_slice(b"Connection: close\r\n");
     }
     buf.extend_from_slice(b"\r\n");
--- a/crates/auburnbridge_http/src/head.rs
+++ b/crates/auburnbridge_http/src/head.rs
@@ -7,7 +7,7 @@
 
 use crate::hop_by_hop::MessageHeaders;
 use crate::limits::MAX_HEADERS;
-use crate::{FramingError, Headers, Limits, RequestInfo, Response, Verdict};
+use crate::{FramingError, Headers, KeepAlive, Limits, RequestInfo, Response};
 
 /// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     pub(crate) headers: Headers,
     pub(crate) framing: Framing,
     pub(crate) expects_continue: bool,
-    pub(crate) verdict: Verdict,
+    pub(crate) keep_alive: KeepAlive,
 }
 
 /// A parsed response head.
@@ -38,7 +38,7 @@
     pub(crate) headers: Headers,
     pub(crate) framing: Framing,
     pub(crate) announced_length: Option<u64>,
-    pub(crate) verdict: Verdict,
+    pub(crate) keep_alive: KeepAlive,
 }
 
 /// Finds the end of the head in `buf` and validates the line endings from `from` on.
@@ -92,7 +92,7 @@
         path: path.to_owned(),
         framing,
         expects_continue: parse_expect(parsed.headers)? && version == 1,
-        verdict: fields.verdict(),
+        keep_alive: fields.keep_alive(),
         headers: fields.headers,
     })
 }
@@ -120,7 +120,7 @@
         return Err(FramingError::UpgradeUnrequested);
     }
     let fields = MessageHeaders::from_fields(parsed.headers, version, head.len())?;
-    let mut verdict = fields.verdict();
+    let mut keep_alive = fields.keep_alive();
     let mut announced_length = None;
     let framing = if Response::is_bodiless(status, info) {
         let announces_body = fields.is_chunked || fields.length.is_some_and(|length| length > 0);
@@ -129,7 +129,7 @@
         }
         // If the target sends a body by mistake, it would be read as the next response.
         if announces_body || (info.is_head && fields.length != Some(0)) {
-            verdict = Verdict::Retire;
+            keep_alive = KeepAlive::Close;
         }
         if info.is_head || status == 304 {
             announced_length = fields.length;
@@ -141,7 +141,7 @@
             (Some(0), false) => Framing::Empty,
             (Some(length), false) => Framing::Sized(length),
             (None, false) if limits.accepts_unframed_responses => {
-                verdict = Verdict::Retire;
+                keep_alive = KeepAlive::Close;
                 Framing::UntilClose
             }
             // A body that ends with the connection can't be distinguished from a truncated one.
@@ -153,7 +153,7 @@
         headers: fields.headers,
         framing,
         announced_length,
-        verdict,
+        keep_alive,
     })
 }
 
--- a/crates/auburnbridge_http/src/hop_by_hop.rs
+++ b/crates/auburnbridge_http/src/hop_by_hop.rs
@@ -3,7 +3,7 @@
 use httparse::Header;
 
 use crate::headers::is_token;
-use crate::{FramingError, Headers, Verdict};
+use crate::{FramingError, Headers, KeepAlive};
 
 /// Headers that apply to one connection or frame the body, and are never forwarded.
 const HOP_BY_HOP_HEADERS: [&str; 8] = [
@@ -80,11 +80,11 @@
         Ok(collected)
     }
 
-    pub(crate) fn verdict(&self) -> Verdict {
+    pub(crate) fn keep_alive(&self) -> KeepAlive {
         if self.closes {
-            Verdict::Retire
+            KeepAlive::Close
         } else {
-            Verdict::Reuse
+            KeepAlive::Reuse
         }
     }
 
--- a/crates/auburnbridge_http/src/lib.rs
+++ b/crates/auburnbridge_http/src/lib.rs
@@ -25,4 +25,4 @@
 pub use error::FramingError;
 pub use headers::Headers;
 pub use limits::Limits;
-pub use message::{Request, RequestInfo, Response, Verdict};
+pub use message::{KeepAlive, Request, RequestInfo, Response};
--- a/crates/auburnbridge_http/src/message.rs
+++ b/crates/auburnbridge_http/src/message.rs
@@ -4,11 +4,11 @@
 
 /// Whether the connection may carry another message after this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum KeepAlive {
     /// The connection is at the start of the next message.
     Reuse,
     /// The connection must be closed.
-    Retire,
+    Close,
 }
 
 /// A whole request with its end-to-end headers.
@@ -23,7 +23,7 @@
     /// The whole body.
     pub body: Body,
     /// Whether the caller's connection may carry another request.
-    pub verdict: Verdict,
+    pub keep_alive: KeepAlive,
 }
 
 impl Request {
@@ -34,7 +34,7 @@
             path: path.to_owned(),
             headers: Headers::new(),
             body: Body::default(),
-            verdict: Verdict::Reuse,
+            keep_alive: KeepAlive::Reuse,
         }
     }
 }
@@ -66,7 +66,7 @@
     /// `Content-Length` of a response without a body, to `HEAD` or with status 304.
     pub announced_length: Option<u64>,
     /// Whether the target's connection may carry another request.
-    pub verdict: Verdict,
+    pub keep_alive: KeepAlive,
 }
 
 impl Response {
@@ -77,7 +77,7 @@
             headers: Headers::new(),
             body: Body::default(),
             announced_length: None,
-            verdict: Verdict::Reuse,
+            keep_alive: KeepAlive::Reuse,
         }
     }
 
--- a/crates/auburnbridge_http/tests/framing.rs
+++ b/crates/auburnbridge_http/tests/framing.rs
@@ -4,7 +4,7 @@
 
 use std::fmt::Debug;
 
-use auburnbridge_http::{FramingError, Request, RequestInfo, Response, Verdict};
+use auburnbridge_http::{FramingError, KeepAlive, Request, RequestInfo, Response};
 use support::{Outcome, Parts, read_request, read_response, small_limits};
 
 /// One case per line, as `name: bytes` with the escapes `\r`, `\n`, `\t` and `\xNN`.
@@ -33,7 +33,7 @@
     // used again.
     check_splits(RESPONSES, response_of, |mut response, has_leftover| {
         if has_leftover {
-            response.verdict = Verdict::Retire;
+            response.keep_alive = KeepAlive::Close;
         }
         response
     });
--- a/crates/auburnbridge_http/tests/limits.rs
+++ b/crates/auburnbridge_http/tests/limits.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use auburnbridge_http::{
-    Body, CONTINUE, FramingError, Limits, MemoryBudget, Request, RequestInfo, Response, Verdict,
+    Body, CONTINUE, FramingError, KeepAlive, Limits, MemoryBudget, Request, RequestInfo, Response,
 };
 use auburnbridge_types::ByteSize;
 use support::{Parts, count_writes, read_request, read_response, small_limits};
@@ -104,7 +104,7 @@
     let info = RequestInfo::default();
     let count = count_writes(async |connection| {
         connection
-            .write_response(&response, info, Verdict::Reuse)
+            .write_response(&response, info, KeepAlive::Reuse)
             .await
     });
     assert_eq!(count, 1);
--- a/crates/auburnbridge_http/tests/round_trip.rs
+++ b/crates/auburnbridge_http/tests/round_trip.rs
@@ -3,7 +3,8 @@
 mod support;
 
 use auburnbridge_http::{
-    Body, Headers, Limits, Request, RequestInfo, Response, Verdict, encode_request, encode_response,
+    Body, Headers, KeepAlive, Limits, Request, RequestInfo, Response, encode_request,
+    encode_response,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -36,8 +37,8 @@
     vec(any::<u8>(), 0..200).prop_map(Body::from)
 }
 
-fn verdict() -> impl Strategy<Value = Verdict> {
-    select(vec![Verdict::Reuse, Verdict::Retire])
+fn keep_alive() -> impl Strategy<Value = KeepAlive> {
+    select(vec![KeepAlive::Reuse, KeepAlive::Close])
 }
 
 prop_compose! {
@@ -46,13 +47,13 @@
         path in "/[!-\"$-~]{0,30}",
         mut headers in headers(),
         body in body(),
-        verdict in verdict(),
+        keep_alive in keep_alive(),
     ) -> Request {
         headers.append("Host", "a:80");
         let mut request = Request::new(method, &path);
         request.headers = headers;
         request.body = body;
-        request.verdict = verdict;
+        request.keep_alive = keep_alive;
         request
     }
 }
@@ -64,15 +65,15 @@
         announced in proptest::option::of(any::<u64>()),
         headers in headers(),
         body in body(),
-        verdict in verdict(),
+        keep_alive in keep_alive(),
     ) -> (Response, RequestInfo) {
         let mut response = Response::new(status);
         response.headers = headers;
-        response.verdict = verdict;
+        response.keep_alive = keep_alive;
         if is_head || status == 304 {
             response.announced_length = announced;
             if announced.is_some_and(|length| length > 0) || (is_head && announced.is_none()) {
-                response.verdict = Verdict::Retire;
+                response.keep_alive = KeepAlive::Close;
             }
         } else if status != 204 {
             response.body = body;
@@ -89,7 +90,7 @@
 
 fn encoded_response(response: &Response, info: RequestInfo) -> Vec<u8> {
     let mut buf = Vec::new();
-    encode_response(response, info, response.verdict, &mut buf);
+    encode_response(response, info, response.keep_alive, &mut buf);
     buf
 }
 
--- a/crates/auburnbridge_http/tests/unframed.rs
+++ b/crates/auburnbridge_http/tests/unframed.rs
@@ -7,7 +7,7 @@
 
 use async_std::io::Read;
 use async_std::task::block_on;
-use auburnbridge_http::{Connection, FramingError, Limits, RequestInfo, Response, Verdict};
+use auburnbridge_http::{Connection, FramingError, KeepAlive, Limits, RequestInfo, Response};
 use auburnbridge_types::ByteSize;
 
 /// A stream that returns some bytes and then its end, or an error.
@@ -48,7 +48,7 @@
     let limits = Limits::default().with_unframed_responses();
     let response = read(None, &limits).unwrap();
     assert_eq!(&*response.body, b"whole body");
-    assert_eq!(response.verdict, Verdict::Retire);
+    assert_eq!(response.keep_alive, KeepAlive::Close);
 }
 
 #[test]
--- a/crates/auburnbridge_standin/src/load.rs
+++ b/crates/auburnbridge_standin/src/load.rs
@@ -6,7 +6,7 @@
 
 use async_std::net::TcpStream;
 use async_std::task;
-use auburnbridge_http::{Connection, Limits, Request, RequestInfo, Verdict};
+use auburnbridge_http::{Connection, KeepAlive, Limits, Request, RequestInfo};
 use auburnbridge_types::{IdempotencyKey, Timestamp};
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
@@ -159,7 +159,7 @@
             .read_response(RequestInfo::from(req), &Limits::default())
             .await
             .ok()?;
-        if response.verdict == Verdict::Reuse {
+        if response.keep_alive == KeepAlive::Reuse {
             self.idle[entry].lock().push(connection);
         }
         Some(response.status)
--- a/crates/auburnbridge_standin/src/target.rs
+++ b/crates/auburnbridge_standin/src/target.rs
@@ -11,7 +11,7 @@
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task::{self, JoinHandle};
 use auburnbridge_http::{
-    Connection, Limits, Request, RequestInfo, Response, Verdict, encode_response,
+    Connection, KeepAlive, Limits, Request, RequestInfo, Response, encode_response,
 };
 use auburnbridge_types::{Clock, DataCentre, Millis, RuntimeClock, ServiceName, Slots, TargetId};
 use futures_lite::FutureExt;
@@ -248,12 +248,12 @@
 async fn serve(mut connection: Connection<TcpStream>, shared: Arc<Shared>) {
     let limits = Limits::default();
     while let Ok(req) = connection.read_request(&limits).await {
-        let verdict = req.verdict;
+        let keep_alive = req.keep_alive;
         match shared.respond(&mut connection, &req).await {
             Some(response) => {
                 let info = RequestInfo::from(&req);
-                let written = connection.write_response(&response, info, verdict).await;
-                if written.is_err() || verdict == Verdict::Retire {
+                let written = connection.write_response(&response, info, keep_alive).await;
+                if written.is_err() || keep_alive == KeepAlive::Close {
                     break;
                 }
             }
@@ -328,7 +328,12 @@
         match fault {
             Fault::HalfAnswer => {
                 let mut buf = Vec::new();
-                encode_response(&response, RequestInfo::from(req), Verdict::Reuse, &mut buf);
+                encode_response(
+                    &response,
+                    RequestInfo::from(req),
+                    KeepAlive::Reuse,
+                    &mut buf,
+                );
                 let _ = connection.get_mut().write_all(&buf[..buf.len() - 10]).await;
                 None
             }
--- a/crates/auburnbridge_target/src/exchange.rs
+++ b/crates/auburnbridge_target/src/exchange.rs
@@ -6,7 +6,7 @@
 
 use async_std::io::WriteExt;
 use async_std::net::TcpStream;
-use auburnbridge_http::{Connection, FramingError, Limits, RequestInfo, Response, Verdict};
+use auburnbridge_http::{Connection, FramingError, KeepAlive, Limits, RequestInfo, Response};
 use auburnbridge_types::ErrorKind;
 use futures_lite::future::or;
 
@@ -156,8 +156,8 @@
 
 /// The outcome of writing a request and reading its answer on one connection.
 pub(crate) enum RoundTrip {
-    /// A whole answer; the verdict tells whether the connection may be used again.
-    Answered(Response, Verdict),
+    /// A whole answer, and whether the connection may be used again.
+    Answered(Response, KeepAlive),
     /// The connection was closed before a byte was written.
     Closed,
     /// A byte was written, then the answer failed.
@@ -197,10 +197,10 @@
         // No byte of the request was written, so what was read can't be its answer.
         _ if !written.load(Ordering::Relaxed) => RoundTrip::Closed,
         Ok((response, false)) if is_fully_written => {
-            let verdict = response.verdict;
-            RoundTrip::Answered(response, verdict)
+            let keep_alive = response.keep_alive;
+            RoundTrip::Answered(response, keep_alive)
         }
-        Ok((response, _)) => RoundTrip::Answered(response, Verdict::Retire),
+        Ok((response, _)) => RoundTrip::Answered(response, KeepAlive::Close),
         Err(error) => RoundTrip::Failed(error),
     }
 }
--- a/crates/auburnbridge_target/src/lib.rs
+++ b/crates/auburnbridge_target/src/lib.rs
@@ -4,7 +4,7 @@
 //! the ledger withdraws a grant only for [`ExchangeResult::NotSent`]. A byte counts as written
 //! once the kernel has accepted it.
 //!
-//! A connection returns to the pool only after a complete exchange with the verdict `Reuse`. In any
+//! A connection returns to the pool only after a complete exchange with `KeepAlive::Reuse`. In any
 //! other case, and when the exchange is dropped, the connection is closed, which cancels the
 //! request at the target and prevents a late answer from being read as the next one.
 //!
--- a/crates/auburnbridge_target/src/pool.rs
+++ b/crates/auburnbridge_target/src/pool.rs
@@ -7,7 +7,7 @@
 
 use async_lock::SemaphoreGuardArc;
 use async_std::net::TcpStream;
-use auburnbridge_http::{Connection, Limits, Request, RequestInfo, Verdict, encode_request};
+use auburnbridge_http::{Connection, KeepAlive, Limits, Request, RequestInfo, encode_request};
 use auburnbridge_types::{Clock, Millis, Timestamp};
 use futures_lite::future::or;
 use parking_lot::Mutex;
@@ -282,13 +282,13 @@
             answer_started,
         };
         let result = match run {
-            Some(RoundTrip::Answered(response, Verdict::Retire))
+            Some(RoundTrip::Answered(response, KeepAlive::Close))
                 if lease.is_reused && response.status == REQUEST_TIMEOUT_STATUS =>
             {
                 unknown(Unknown::IdleTimeout)
             }
-            Some(RoundTrip::Answered(response, verdict)) => {
-                if verdict == Verdict::Reuse {
+            Some(RoundTrip::Answered(response, keep_alive)) => {
+                if keep_alive == KeepAlive::Reuse {
                     target.put_back(lease.connection, self.options.clock.now());
                 }
                 ExchangeResult::Answered(response)
