--- a/crates/auburnbridge_entry/src/attempt.rs
+++ b/crates/auburnbridge_entry/src/attempt.rs
@@ -5,7 +5,7 @@
 use auburnbridge_metrics::{Counter, Timer};
 use auburnbridge_policy::{Observation, RequestClass};
 use auburnbridge_rules::RouteClass;
-use auburnbridge_target::{Exchange, ExchangeResult, NotSent, Unknown};
+use auburnbridge_target::{Exchange, ExchangeResult, NotSentReason, UnknownReason};
 use auburnbridge_types::{AttemptId, Millis, Timestamp};
 use futures_lite::FutureExt;
 use log::info;
@@ -30,9 +30,12 @@
     /// The target had no free slot and did not run the request.
     Shed,
     /// No byte was written to the target.
-    NotSent(NotSent),
+    NotSent(NotSentReason),
     /// The target may have run the request.
-    Unknown { reason: Unknown, crashed: bool },
+    Unknown {
+        reason: UnknownReason,
+        crashed: bool,
+    },
     /// The caller disconnected, and the exchange was cancelled.
     Cancelled,
 }
@@ -119,7 +122,7 @@
                 answer_started,
             } => {
                 let connection_lost =
-                    matches!(reason, Unknown::Framing(error) if is_connection_loss(error));
+                    matches!(reason, UnknownReason::Framing(error) if is_connection_loss(error));
                 let targets = &self.ports.targets;
                 let crashed = connection_lost
                     && !answer_started
@@ -179,11 +182,11 @@
             Self::Unknown { reason, .. } if reason.is_local() => Observation::NotAttributable,
             // A short deadline of the caller says nothing about the health of the target.
             Self::Unknown {
-                reason: Unknown::Deadline,
+                reason: UnknownReason::Deadline,
                 ..
             } if time < timeout.min(UNRESPONSIVE_AFTER) => Observation::NotAttributable,
             Self::Unknown {
-                reason: Unknown::Deadline,
+                reason: UnknownReason::Deadline,
                 ..
             } => Observation::TimedOut,
             Self::Unknown { .. } => Observation::InvalidAnswer,
--- a/crates/auburnbridge_entry/tests/request_path/fakes.rs
+++ b/crates/auburnbridge_entry/tests/request_path/fakes.rs
@@ -10,7 +10,7 @@
 use auburnbridge_http::{FramingError, Limits, Request, Response};
 use auburnbridge_ledger::{Command, Ledger, Reply};
 use auburnbridge_policy::{CrashReport, RequestClass};
-use auburnbridge_target::{Exchange, ExchangeResult, NotSent, Unknown};
+use auburnbridge_target::{Exchange, ExchangeResult, NotSentReason, UnknownReason};
 use auburnbridge_types::{BoxFuture, Clock, Millis, PausedClock, Timestamp};
 use futures_lite::FutureExt;
 use parking_lot::Mutex;
@@ -282,15 +282,17 @@
             Some(Fault::TargetCrashes) => {
                 self.state.lock().crashed.insert(address);
             }
-            Some(Fault::CutOneWay) => return ExchangeResult::NotSent(NotSent::ConnectTimeout),
+            Some(Fault::CutOneWay) => {
+                return ExchangeResult::NotSent(NotSentReason::ConnectTimeout);
+            }
             Some(Fault::Shed) => return ExchangeResult::Answered(shed_response()),
             _ => {}
         }
         if self.state.lock().crashed.contains(&address) {
-            return ExchangeResult::NotSent(NotSent::Refused);
+            return ExchangeResult::NotSent(NotSentReason::Refused);
         }
         if self.clock.now() >= deadline {
-            return ExchangeResult::NotSent(NotSent::Deadline);
+            return ExchangeResult::NotSent(NotSentReason::Deadline);
         }
         match self.next_fault() {
             Some((Step::Write, Fault::Shed)) => {
@@ -325,7 +327,7 @@
                 },
             };
             return ExchangeResult::Unknown {
-                reason: Unknown::Framing(error),
+                reason: UnknownReason::Framing(error),
                 answer_started: answer_started || error == FramingError::ClosedInBody,
             };
         }
@@ -388,10 +390,10 @@
             let timeout = async {
                 self.clock.sleep(deadline.since(now)).await;
                 if self.state.lock().executions.len() == executions_before {
-                    return ExchangeResult::NotSent(NotSent::Deadline);
+                    return ExchangeResult::NotSent(NotSentReason::Deadline);
                 }
                 ExchangeResult::Unknown {
-                    reason: Unknown::Deadline,
+                    reason: UnknownReason::Deadline,
                     answer_started: false,
                 }
             };
--- a/crates/auburnbridge_gateway/src/exchange.rs
+++ b/crates/auburnbridge_gateway/src/exchange.rs
@@ -8,7 +8,9 @@
 use auburnbridge_http::{FramingError, KeepAlive, Request, Response};
 use auburnbridge_policy::balance::Finding;
 use auburnbridge_policy::{CrashReport, RequestClass};
-use auburnbridge_target::{Exchange, ExchangeResult, NotSent, Unknown, refuses_connections};
+use auburnbridge_target::{
+    Exchange, ExchangeResult, NotSentReason, UnknownReason, refuses_connections,
+};
 use auburnbridge_telemetry::ExchangeLabels;
 use auburnbridge_types::{Millis, Timestamp};
 use futures_lite::FutureExt;
@@ -131,7 +133,7 @@
             }
             ExchangeResult::NotSent(reason) => (Outcome::NotRun, finding_for_not_sent(reason)),
             ExchangeResult::Unknown {
-                reason: Unknown::Deadline,
+                reason: UnknownReason::Deadline,
                 ..
             } => {
                 // A long silence has been recorded already, and a short remaining time must not count
@@ -260,20 +262,20 @@
     }
 }
 
-fn finding_for_not_sent(reason: NotSent) -> Option<Finding> {
+fn finding_for_not_sent(reason: NotSentReason) -> Option<Finding> {
     match reason {
-        NotSent::Refused => Some(Finding::Refused),
-        NotSent::ConnectTimeout | NotSent::Closed => Some(Finding::Unreachable),
-        NotSent::ConnectFailed(_) => (!reason.is_local()).then_some(Finding::Unreachable),
-        NotSent::AllInUse | NotSent::Deadline => None,
+        NotSentReason::Refused => Some(Finding::Refused),
+        NotSentReason::ConnectTimeout | NotSentReason::Closed => Some(Finding::Unreachable),
+        NotSentReason::ConnectFailed(_) => (!reason.is_local()).then_some(Finding::Unreachable),
+        NotSentReason::AllInUse | NotSentReason::Deadline => None,
     }
 }
 
 /// Whether the target closed the connection or the connection failed.
-fn is_disconnect(reason: Unknown) -> bool {
+fn is_disconnect(reason: UnknownReason) -> bool {
     matches!(
         reason,
-        Unknown::Framing(
+        UnknownReason::Framing(
             FramingError::ClosedBetweenMessages | FramingError::ClosedInHead | FramingError::Io(_)
         )
     )
--- a/crates/auburnbridge_target/src/connect.rs
+++ b/crates/auburnbridge_target/src/connect.rs
@@ -8,14 +8,14 @@
 use auburnbridge_types::{Clock, Millis};
 use futures_lite::future::or;
 
-use crate::NotSent;
+use crate::NotSentReason;
 
 /// Connects within `timeout`, with Nagle's algorithm off.
 pub(crate) async fn connect(
     address: SocketAddr,
     timeout: Millis,
     clock: &dyn Clock,
-) -> Result<Connection<TcpStream>, NotSent> {
+) -> Result<Connection<TcpStream>, NotSentReason> {
     let connecting = async {
         let stream = TcpStream::connect(address)
             .await
@@ -25,7 +25,7 @@
     };
     let timer = async {
         clock.sleep(timeout).await;
-        Err(NotSent::ConnectTimeout)
+        Err(NotSentReason::ConnectTimeout)
     };
     or(connecting, timer).await
 }
@@ -34,9 +34,9 @@
     clippy::needless_pass_by_value,
     reason = "used as a function for map_err"
 )]
-fn classify_connect_error(error: io::Error) -> NotSent {
+fn classify_connect_error(error: io::Error) -> NotSentReason {
     match error.kind() {
-        io::ErrorKind::ConnectionRefused => NotSent::Refused,
-        kind => NotSent::ConnectFailed(kind),
+        io::ErrorKind::ConnectionRefused => NotSentReason::Refused,
+        kind => NotSentReason::ConnectFailed(kind),
     }
 }
--- a/crates/auburnbridge_target/src/exchange.rs
+++ b/crates/auburnbridge_target/src/exchange.rs
@@ -25,11 +25,11 @@
     /// The target sent a whole answer.
     Answered(Response),
     /// No byte of the request was written: it did not run.
-    NotSent(NotSent),
+    NotSent(NotSentReason),
     /// At least one byte was written and no whole answer arrived: the request may have run.
     Unknown {
         /// What ended the exchange.
-        reason: Unknown,
+        reason: UnknownReason,
         /// Whether any byte of an answer arrived.
         answer_started: bool,
     },
@@ -37,7 +37,7 @@
 
 /// Why no byte of a request was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotSent {
+pub enum NotSentReason {
     /// The target refused the connection.
     Refused,
     /// The connection was not established within the connect timeout.
@@ -54,7 +54,7 @@
 
 /// Why no whole answer arrived after at least one byte was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unknown {
+pub enum UnknownReason {
     /// The connection was closed or failed, or the answer violates a framing rule or limit.
     Framing(FramingError),
     /// A reused connection returned a 408 and closes.
@@ -66,7 +66,7 @@
     Deadline,
 }
 
-impl NotSent {
+impl NotSentReason {
     /// The error kind for the caller when no other target is tried.
     pub const fn kind(self) -> ErrorKind {
         match self {
@@ -94,7 +94,7 @@
     }
 }
 
-impl Unknown {
+impl UnknownReason {
     /// The error kind for the caller when the request is not resent.
     pub const fn kind(self) -> ErrorKind {
         match self {
--- a/crates/auburnbridge_target/src/lib.rs
+++ b/crates/auburnbridge_target/src/lib.rs
@@ -18,5 +18,5 @@
 mod pool;
 
 pub use crash::refuses_connections;
-pub use exchange::{Exchange, ExchangeResult, NotSent, Unknown};
+pub use exchange::{Exchange, ExchangeResult, NotSentReason, UnknownReason};
 pub use pool::{Pool, PoolBuilder};
--- a/crates/auburnbridge_target/src/pool.rs
+++ b/crates/auburnbridge_target/src/pool.rs
@@ -14,7 +14,7 @@
 
 use crate::connect::connect;
 use crate::exchange::{
-    Exchange, ExchangeResult, NotSent, OutgoingRequest, RoundTrip, Unknown, round_trip,
+    Exchange, ExchangeResult, NotSentReason, OutgoingRequest, RoundTrip, UnknownReason, round_trip,
 };
 use crate::idle::TargetConnections;
 
@@ -198,7 +198,7 @@
             match exchange.result {
                 // The target closed the idle connection before a byte was written, so another
                 // connection can be used.
-                ExchangeResult::NotSent(NotSent::Closed) if is_reused => {}
+                ExchangeResult::NotSent(NotSentReason::Closed) if is_reused => {}
                 _ => return exchange,
             }
         }
@@ -219,15 +219,15 @@
         target: &TargetConnections,
         deadline: Timestamp,
         freshness: Millis,
-    ) -> Result<Lease, NotSent> {
+    ) -> Result<Lease, NotSentReason> {
         if self.options.clock.now() >= deadline {
-            return Err(NotSent::Deadline);
+            return Err(NotSentReason::Deadline);
         }
         let acquiring = async { Ok(target.exchange_permits.acquire_arc().await) };
-        let permit = or(acquiring, self.fail_at(deadline, NotSent::AllInUse)).await?;
+        let permit = or(acquiring, self.fail_at(deadline, NotSentReason::AllInUse)).await?;
         let now = self.options.clock.now();
         if now >= deadline {
-            return Err(NotSent::AllInUse);
+            return Err(NotSentReason::AllInUse);
         }
         if let Some(connection) = target.take_usable(now, freshness) {
             return Ok(Lease {
@@ -237,7 +237,7 @@
             });
         }
         let connecting = connect(address, self.options.connect_timeout, &*self.options.clock);
-        let connection = or(connecting, self.fail_at(deadline, NotSent::Deadline))
+        let connection = or(connecting, self.fail_at(deadline, NotSentReason::Deadline))
             .await
             .map_err(|reason| self.prefer_deadline(reason, deadline))?;
         Ok(Lease {
@@ -249,9 +249,9 @@
 
     /// Reports `Deadline` rather than a connect timeout if both have passed: a delay of this
     /// process lets both timers fire at once and must not count as a timeout of the target.
-    fn prefer_deadline(&self, reason: NotSent, deadline: Timestamp) -> NotSent {
-        if reason == NotSent::ConnectTimeout && self.options.clock.now() >= deadline {
-            return NotSent::Deadline;
+    fn prefer_deadline(&self, reason: NotSentReason, deadline: Timestamp) -> NotSentReason {
+        if reason == NotSentReason::ConnectTimeout && self.options.clock.now() >= deadline {
+            return NotSentReason::Deadline;
         }
         reason
     }
@@ -266,7 +266,7 @@
     ) -> Exchange {
         // The process may have been suspended while it connected.
         if self.options.clock.now() >= deadline {
-            return Exchange::not_sent(NotSent::Deadline);
+            return Exchange::not_sent(NotSentReason::Deadline);
         }
         let received = lease.connection.bytes_received();
         let written = AtomicBool::new(false);
@@ -285,7 +285,7 @@
             Some(RoundTrip::Answered(response, KeepAlive::Close))
                 if lease.is_reused && response.status == REQUEST_TIMEOUT_STATUS =>
             {
-                unknown(Unknown::IdleTimeout)
+                unknown(UnknownReason::IdleTimeout)
             }
             Some(RoundTrip::Answered(response, keep_alive)) => {
                 if keep_alive == KeepAlive::Reuse {
@@ -293,10 +293,10 @@
                 }
                 ExchangeResult::Answered(response)
             }
-            Some(RoundTrip::Closed) => ExchangeResult::NotSent(NotSent::Closed),
-            Some(RoundTrip::Failed(error)) => unknown(Unknown::Framing(error)),
-            None if written.load(Ordering::Relaxed) => unknown(Unknown::Deadline),
-            None => ExchangeResult::NotSent(NotSent::Deadline),
+            Some(RoundTrip::Closed) => ExchangeResult::NotSent(NotSentReason::Closed),
+            Some(RoundTrip::Failed(error)) => unknown(UnknownReason::Framing(error)),
+            None if written.load(Ordering::Relaxed) => unknown(UnknownReason::Deadline),
+            None => ExchangeResult::NotSent(NotSentReason::Deadline),
         };
         Exchange {
             result,
@@ -304,7 +304,11 @@
         }
     }
 
-    async fn fail_at<T>(&self, deadline: Timestamp, reason: NotSent) -> Result<T, NotSent> {
+    async fn fail_at<T>(
+        &self,
+        deadline: Timestamp,
+        reason: NotSentReason,
+    ) -> Result<T, NotSentReason> {
         self.sleep_until(deadline).await;
         Err(reason)
     }
@@ -316,7 +320,7 @@
 }
 
 impl Exchange {
-    fn not_sent(reason: NotSent) -> Self {
+    fn not_sent(reason: NotSentReason) -> Self {
         Self {
             result: ExchangeResult::NotSent(reason),
             reused: false,
--- a/crates/auburnbridge_target/tests/exchange.rs
+++ b/crates/auburnbridge_target/tests/exchange.rs
@@ -8,7 +8,7 @@
 
 use async_std::io::{ReadExt, WriteExt};
 use auburnbridge_http::{Body, FramingError, Limits, Request};
-use auburnbridge_target::{NotSent, Pool, Unknown};
+use auburnbridge_target::{NotSentReason, Pool, UnknownReason};
 use auburnbridge_types::{BoxFuture, Clock, Millis, Outcome, PausedClock, Timestamp};
 use futures_lite::future::{or, poll_once, zip};
 use socket2::{Domain, SockAddr, Socket, Type};
@@ -205,25 +205,31 @@
 #[test]
 fn reasons_agree_with_certainty_and_attribution() {
     let not_sent = [
-        (NotSent::Refused, false),
-        (NotSent::ConnectTimeout, false),
-        (NotSent::ConnectFailed(ErrorKind::HostUnreachable), false),
-        (NotSent::ConnectFailed(ErrorKind::AddrNotAvailable), true),
-        (NotSent::ConnectFailed(ErrorKind::Other), true),
-        (NotSent::Closed, false),
-        (NotSent::AllInUse, true),
-        (NotSent::Deadline, true),
+        (NotSentReason::Refused, false),
+        (NotSentReason::ConnectTimeout, false),
+        (
+            NotSentReason::ConnectFailed(ErrorKind::HostUnreachable),
+            false,
+        ),
+        (
+            NotSentReason::ConnectFailed(ErrorKind::AddrNotAvailable),
+            true,
+        ),
+        (NotSentReason::ConnectFailed(ErrorKind::Other), true),
+        (NotSentReason::Closed, false),
+        (NotSentReason::AllInUse, true),
+        (NotSentReason::Deadline, true),
     ];
     for (reason, is_local) in not_sent {
         assert_eq!(reason.kind().answer().outcome, Outcome::NotRun);
         assert_eq!(reason.is_local(), is_local, "{reason:?}");
     }
     let unknown = [
-        (Unknown::Deadline, false),
-        (Unknown::IdleTimeout, true),
-        (Unknown::Framing(FramingError::ClosedInBody), false),
-        (Unknown::Framing(FramingError::BodyTooLarge), false),
-        (Unknown::Framing(FramingError::MemoryExhausted), true),
+        (UnknownReason::Deadline, false),
+        (UnknownReason::IdleTimeout, true),
+        (UnknownReason::Framing(FramingError::ClosedInBody), false),
+        (UnknownReason::Framing(FramingError::BodyTooLarge), false),
+        (UnknownReason::Framing(FramingError::MemoryExhausted), true),
     ];
     for (reason, is_local) in unknown {
         assert_eq!(reason.kind().answer().outcome, Outcome::Unknown);
