--- a/crates/auburnbridge_capacity/src/fixtures.rs
+++ b/crates/auburnbridge_capacity/src/fixtures.rs
@@ -7,7 +7,7 @@
 use auburnbridge_membership::{AnnouncedState, Announcement, EntryAnnouncement};
 use auburnbridge_policy::{Member, Presence};
 use auburnbridge_types::{
-    AttemptId, BodyDigest, IdempotencyKey, Incarnation, Millis, Revision, Sequence, Slots,
+    AttemptId, IdempotencyKey, Incarnation, Millis, RequestDigest, Revision, Sequence, Slots,
     Timestamp,
 };
 
@@ -154,7 +154,7 @@
 pub fn grant_of(key: LedgerKey, number: u32, now: Timestamp) -> Command {
     Command::Grant {
         key,
-        body_digest: BodyDigest([number.to_be_bytes()[3]; 32]),
+        request_digest: RequestDigest([number.to_be_bytes()[3]; 32]),
         attempt: attempt(number),
         deadline: now.after(Millis(60_000)),
         previous_attempts: Some(0),
--- a/crates/auburnbridge_entry/src/dispatch.rs
+++ b/crates/auburnbridge_entry/src/dispatch.rs
@@ -6,7 +6,7 @@
 use auburnbridge_http::Response;
 use auburnbridge_policy::{CrashReport, TargetKey};
 use auburnbridge_rules::RouteClass;
-use auburnbridge_types::{AttemptId, BodyDigest, ErrorKind};
+use auburnbridge_types::{AttemptId, ErrorKind, RequestDigest};
 
 use crate::admission::{NotAdmitted, Permit};
 use crate::attempt::{AttemptResult, request_class, unless_disconnected};
@@ -32,7 +32,7 @@
     entry: &'a Entry,
     req: &'a CallerRequest,
     service: Arc<ServiceFleet>,
-    digest: BodyDigest,
+    digest: RequestDigest,
     /// Cancels the request when the caller disconnects, if given.
     disconnect: Option<&'a Disconnect>,
     /// Admission of the request, held from the first dispatch on.
--- a/crates/auburnbridge_entry/src/entry.rs
+++ b/crates/auburnbridge_entry/src/entry.rs
@@ -14,7 +14,7 @@
 use auburnbridge_policy::{AccountLimit, AccountLimiter, CrashReport, PoisonTable};
 use auburnbridge_rules::{RouteClass, Rules};
 use auburnbridge_types::{
-    AttemptId, BodyDigest, BoxFuture, Clock, DataCentre, ErrorKind, Millis, Revision, Timestamp,
+    AttemptId, BoxFuture, Clock, DataCentre, ErrorKind, Millis, RequestDigest, Revision, Timestamp,
     VmId,
 };
 use log::info;
@@ -180,7 +180,7 @@
         self.poison.lock().record(now, report);
     }
 
-    pub(crate) fn is_poisoned(&self, digest: &BodyDigest) -> bool {
+    pub(crate) fn is_poisoned(&self, digest: &RequestDigest) -> bool {
         let now = self.ports.clock.now();
         self.poison.lock().is_poisoned(now, digest)
     }
--- a/crates/auburnbridge_entry/src/keyed.rs
+++ b/crates/auburnbridge_entry/src/keyed.rs
@@ -47,13 +47,13 @@
         idempotency_key: req.key.expect("routes of class `once` require a key"),
         account: req.account.clone(),
     };
-    let body_digest = req.digest();
+    let request_digest = req.digest();
     let attempt = entry.next_attempt();
     let mut backoff = Backoff::between_grants();
     loop {
         let command = Command::Grant {
             key: key.clone(),
-            body_digest,
+            request_digest,
             attempt: attempt.clone(),
             deadline: req.deadline.after(SETTLE_GRACE),
             previous_attempts: req.previous_attempts,
--- a/crates/auburnbridge_entry/src/request.rs
+++ b/crates/auburnbridge_entry/src/request.rs
@@ -3,7 +3,7 @@
 use auburnbridge_caller::Problem;
 use auburnbridge_http::Request;
 use auburnbridge_rules::{Method, Route, RouteClass, Rules};
-use auburnbridge_types::{AccountId, BodyDigest, ErrorKind, IdempotencyKey, Millis, Timestamp};
+use auburnbridge_types::{AccountId, ErrorKind, IdempotencyKey, Millis, RequestDigest, Timestamp};
 use sha2::{Digest, Sha256};
 
 /// Header with the idempotency key of a non-idempotent request.
@@ -86,7 +86,7 @@
     }
 
     /// Digest of account, method, path and body, which identifies the request across resends.
-    pub fn digest(&self) -> BodyDigest {
+    pub fn digest(&self) -> RequestDigest {
         let mut hasher = Sha256::new();
         for part in [
             self.account.as_str().as_bytes(),
@@ -98,7 +98,7 @@
             hasher.update((part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
-        BodyDigest(hasher.finalize().into())
+        RequestDigest(hasher.finalize().into())
     }
 
     /// Sets the outcome of a rejection without a grant. The outcome `not-run` is kept only if there
--- a/crates/auburnbridge_gateway/src/gateway.rs
+++ b/crates/auburnbridge_gateway/src/gateway.rs
@@ -13,7 +13,7 @@
 use auburnbridge_target::Pool;
 use auburnbridge_telemetry::ProcessMetrics;
 use auburnbridge_types::{
-    BodyDigest, BoxFuture, ByteSize, Clock, ConfigVersion, Millis, Timestamp,
+    BoxFuture, ByteSize, Clock, ConfigVersion, Millis, RequestDigest, Timestamp,
 };
 use event_listener::Event;
 use log::info;
@@ -81,7 +81,7 @@
     /// Version of the configuration that the route is from.
     pub(crate) version: ConfigVersion,
     pub(crate) route: Arc<PublishedRoute>,
-    pub(crate) digest: BodyDigest,
+    pub(crate) digest: RequestDigest,
     pub(crate) arrived: Timestamp,
     /// Arrival time plus the route's timeout, or the caller's deadline if that is earlier.
     pub(crate) deadline: Timestamp,
@@ -166,7 +166,7 @@
         std::mem::take(&mut self.unreported_crashes.lock())
     }
 
-    pub(crate) fn is_poisoned(&self, digest: &BodyDigest) -> bool {
+    pub(crate) fn is_poisoned(&self, digest: &RequestDigest) -> bool {
         let now = self.clock.now();
         self.poison.lock().is_poisoned(now, digest)
     }
@@ -244,7 +244,7 @@
 }
 
 /// Digest that identifies a request across the attempts of its caller, whose attempt ids differ.
-pub fn request_digest(request: &Request) -> BodyDigest {
+pub fn request_digest(request: &Request) -> RequestDigest {
     let mut hasher = Sha256::new();
     let host = request.headers.get("Host").unwrap_or_default();
     for part in [
@@ -257,7 +257,7 @@
         hasher.update((part.len() as u64).to_be_bytes());
         hasher.update(part);
     }
-    BodyDigest(hasher.finalize().into())
+    RequestDigest(hasher.finalize().into())
 }
 
 /// The [`Service`] that forwards the requests of callers through a shared gateway.
--- a/crates/auburnbridge_ledger/src/command.rs
+++ b/crates/auburnbridge_ledger/src/command.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use auburnbridge_types::{AccountId, AttemptId, BodyDigest, IdempotencyKey, Millis, Timestamp};
+use auburnbridge_types::{AccountId, AttemptId, IdempotencyKey, Millis, RequestDigest, Timestamp};
 use serde::{Deserialize, Serialize};
 use strum::{Display, IntoStaticStr};
 
@@ -59,7 +59,7 @@
         /// The request.
         key: LedgerKey,
         /// Digest of the request, which distinguishes a resend from a reused key.
-        body_digest: BodyDigest,
+        request_digest: RequestDigest,
         /// The attempt that will dispatch the request.
         attempt: AttemptId,
         /// Log time at which the outcome of an unfinished attempt becomes unknown.
--- a/crates/auburnbridge_ledger/src/ledger.rs
+++ b/crates/auburnbridge_ledger/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use auburnbridge_types::{AttemptId, BodyDigest, ByteSize, Millis, Timestamp};
+use auburnbridge_types::{AttemptId, ByteSize, Millis, RequestDigest, Timestamp};
 use serde::{Deserialize, Serialize};
 
 use crate::record::Record;
@@ -99,11 +99,11 @@
         match command {
             Command::Grant {
                 key,
-                body_digest,
+                request_digest,
                 attempt,
                 deadline,
                 previous_attempts,
-            } => self.grant(key, body_digest, attempt, deadline, previous_attempts),
+            } => self.grant(key, request_digest, attempt, deadline, previous_attempts),
             Command::Withdraw { key, attempt } => {
                 let now = self.now;
                 self.update_record(&key, |record| record.withdraw(now, attempt))
@@ -149,7 +149,7 @@
     fn grant(
         &mut self,
         key: LedgerKey,
-        body_digest: BodyDigest,
+        request_digest: RequestDigest,
         attempt: AttemptId,
         deadline: Timestamp,
         previous_attempts: Option<u32>,
@@ -158,7 +158,13 @@
             return Reply::Expired;
         }
         if let Some(record) = self.records.get_mut(&key) {
-            return record.grant(self.now, body_digest, attempt, deadline, previous_attempts);
+            return record.grant(
+                self.now,
+                request_digest,
+                attempt,
+                deadline,
+                previous_attempts,
+            );
         }
         if self.now >= deadline {
             return Reply::NotHolder;
@@ -170,8 +176,14 @@
         }
         self.records
             .entry(key)
-            .or_insert_with(|| Record::new(body_digest))
-            .grant(self.now, body_digest, attempt, deadline, previous_attempts)
+            .or_insert_with(|| Record::new(request_digest))
+            .grant(
+                self.now,
+                request_digest,
+                attempt,
+                deadline,
+                previous_attempts,
+            )
     }
 
     /// Concludes a key; an answer over a limit is not stored, only the fact that the request ran.
--- a/crates/auburnbridge_ledger/src/record.rs
+++ b/crates/auburnbridge_ledger/src/record.rs
@@ -1,6 +1,6 @@
 //! The record of one key and its state transitions.
 
-use auburnbridge_types::{AttemptId, BodyDigest, Timestamp, VmId};
+use auburnbridge_types::{AttemptId, RequestDigest, Timestamp, VmId};
 use serde::{Deserialize, Serialize};
 
 use crate::{MAX_WITHDRAWING_PROCESSES, Reply, StoredAnswer};
@@ -8,7 +8,7 @@
 /// The state of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Record {
-    pub(crate) body_digest: BodyDigest,
+    pub(crate) request_digest: RequestDigest,
     pub(crate) state: State,
     withdrawn: Vec<WithdrawnAttempts>,
     /// The caller's latest send with a withdrawn attempt, identified by its previous attempts.
@@ -51,9 +51,9 @@
 
 impl Record {
     /// Creates the record of a key that no attempt has held.
-    pub(crate) fn new(body_digest: BodyDigest) -> Self {
+    pub(crate) fn new(request_digest: RequestDigest) -> Self {
         Self {
-            body_digest,
+            request_digest,
             state: State::Free,
             withdrawn: Vec::new(),
             latest_withdrawn_send: None,
@@ -106,12 +106,12 @@
     pub(crate) fn grant(
         &mut self,
         now: Timestamp,
-        body_digest: BodyDigest,
+        request_digest: RequestDigest,
         attempt: AttemptId,
         deadline: Timestamp,
         previous_attempts: Option<u32>,
     ) -> Reply {
-        if body_digest != self.body_digest {
+        if request_digest != self.request_digest {
             return Reply::BodyMismatch;
         }
         match &self.state {
--- a/crates/auburnbridge_ledger/tests/ledger.rs
+++ b/crates/auburnbridge_ledger/tests/ledger.rs
@@ -6,7 +6,7 @@
     Command, Ledger, LedgerKey, Limits, MAX_CLOCK_SKEW, MAX_WITHDRAWING_PROCESSES, Reply,
     RestoreError, SNAPSHOT_VERSION, StoredAnswer,
 };
-use auburnbridge_types::{AttemptId, BodyDigest, ByteSize, IdempotencyKey, Millis, Timestamp};
+use auburnbridge_types::{AttemptId, ByteSize, IdempotencyKey, Millis, RequestDigest, Timestamp};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -30,7 +30,7 @@
 fn grant(key: &LedgerKey, attempt: &AttemptId, deadline: u64) -> Command {
     Command::Grant {
         key: key.clone(),
-        body_digest: BodyDigest([1; 32]),
+        request_digest: RequestDigest([1; 32]),
         attempt: attempt.clone(),
         deadline: START.after(Millis(deadline)),
         previous_attempts: None,
@@ -40,7 +40,7 @@
 fn resend(key: &LedgerKey, attempt: &AttemptId, previous_attempts: u32) -> Command {
     Command::Grant {
         key: key.clone(),
-        body_digest: BodyDigest([1; 32]),
+        request_digest: RequestDigest([1; 32]),
         attempt: attempt.clone(),
         deadline: START.after(Millis(100)),
         previous_attempts: Some(previous_attempts),
@@ -75,7 +75,7 @@
     let (k, a, b) = (key(START, 1), attempt(1, 1), attempt(2, 1));
     let other_body = Command::Grant {
         key: k.clone(),
-        body_digest: BodyDigest([2; 32]),
+        request_digest: RequestDigest([2; 32]),
         attempt: b.clone(),
         deadline: START.after(Millis(100)),
         previous_attempts: None,
--- a/crates/auburnbridge_policy/src/poison.rs
+++ b/crates/auburnbridge_policy/src/poison.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use auburnbridge_types::{BodyDigest, Incarnation, Millis, TargetId, Timestamp};
+use auburnbridge_types::{Incarnation, Millis, RequestDigest, TargetId, Timestamp};
 use serde::{Deserialize, Serialize};
 
 /// Number of crashed target instances after which a request is refused.
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The request.
-    pub request: BodyDigest,
+    pub request: RequestDigest,
     /// The target that crashed.
     pub target: TargetId,
     /// Incarnation of the target that crashed.
@@ -35,9 +35,9 @@
 /// The crash reports that one process knows of.
 #[derive(Clone, Debug, Default)]
 pub struct PoisonTable {
-    requests: HashMap<BodyDigest, Crashes>,
+    requests: HashMap<RequestDigest, Crashes>,
     // One element per report, in order of arrival; stale elements are skipped.
-    reports: VecDeque<(Timestamp, BodyDigest)>,
+    reports: VecDeque<(Timestamp, RequestDigest)>,
 }
 
 impl PoisonTable {
@@ -64,7 +64,7 @@
     }
 
     /// Whether the request has crashed [`CRASH_LIMIT`] targets and is to be refused.
-    pub fn is_poisoned(&self, now: Timestamp, request: &BodyDigest) -> bool {
+    pub fn is_poisoned(&self, now: Timestamp, request: &RequestDigest) -> bool {
         self.requests.get(request).is_some_and(|crashes| {
             crashes.instances.len() >= CRASH_LIMIT && now.since(crashes.last_crash) < POISON_TIME
         })
--- a/crates/auburnbridge_policy/tests/tables.rs
+++ b/crates/auburnbridge_policy/tests/tables.rs
@@ -3,7 +3,7 @@
 use auburnbridge_policy::{
     AccountLimit, AccountLimiter, CrashReport, POISON_TIME, PoisonTable, RetryBudget,
 };
-use auburnbridge_types::{BodyDigest, Incarnation, Millis, RatePerSecond, Timestamp};
+use auburnbridge_types::{Incarnation, Millis, RatePerSecond, RequestDigest, Timestamp};
 
 const START: Timestamp = Timestamp(1_000_000);
 
@@ -15,10 +15,10 @@
     }
 }
 
-fn digest(request: u32) -> BodyDigest {
+fn digest(request: u32) -> RequestDigest {
     let mut bytes = [0; 32];
     bytes[..4].copy_from_slice(&request.to_be_bytes());
-    BodyDigest(bytes)
+    RequestDigest(bytes)
 }
 
 /// Guards against a request that may crash a third target, and against the refusal of other requests.
--- a/crates/auburnbridge_types/src/idempotency.rs
+++ b/crates/auburnbridge_types/src/idempotency.rs
@@ -71,15 +71,15 @@
 
 /// SHA-256 digest of the method, path and body of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct BodyDigest(pub [u8; 32]);
+pub struct RequestDigest(pub [u8; 32]);
 
-impl fmt::Display for BodyDigest {
+impl fmt::Display for RequestDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
-impl FromStr for BodyDigest {
+impl FromStr for RequestDigest {
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
--- a/crates/auburnbridge_types/src/lib.rs
+++ b/crates/auburnbridge_types/src/lib.rs
@@ -13,7 +13,7 @@
 pub use answer::{Answer, ErrorKind, Outcome};
 pub use attempt::AttemptId;
 pub use clock::{BootClock, BoxFuture, Clock, PausedClock, RuntimeClock};
-pub use idempotency::{BodyDigest, IdempotencyKey, parse_digest};
+pub use idempotency::{IdempotencyKey, RequestDigest, parse_digest};
 pub use names::{AccountId, DataCentre, ServiceName, TargetId, VmId};
 pub use quantities::{
     ByteSize, ConfigVersion, Incarnation, Millis, Priority, RatePerSecond, Revision, Sequence,
