--- a/crates/auburnbridge_entry/src/run.rs
+++ b/crates/auburnbridge_entry/src/run.rs
@@ -16,7 +16,7 @@
 use auburnbridge_metrics::Metrics;
 use auburnbridge_peer::keys::KeyRing;
 use auburnbridge_peer::{Handler, Options, PeerAddress, PeerServer, PeerTransport, Transport};
-use auburnbridge_platform::{Platform, READY_PATH, announcement_app, readiness_app};
+use auburnbridge_platform::{PlatformHandler, READY_PATH, announcement_app, readiness_app};
 use auburnbridge_policy::Presence;
 use auburnbridge_target::Pool;
 use auburnbridge_types::{
@@ -222,12 +222,12 @@
             .limits(limits)
             .clock(Arc::clone(&self.clock))
             .build();
-        let platform: Arc<dyn Platform> = Arc::clone(self) as Arc<dyn Platform>;
+        let handler: Arc<dyn PlatformHandler> = Arc::clone(self) as Arc<dyn PlatformHandler>;
         let callers = Arc::new(CallerService {
             entry: Arc::clone(&self.entry),
-            readiness: TideService::new(readiness_app(Arc::clone(&platform))),
+            readiness: TideService::new(readiness_app(Arc::clone(&handler))),
         });
-        let targets = Arc::new(TideService::new(announcement_app(platform)));
+        let targets = Arc::new(TideService::new(announcement_app(handler)));
         self.spawn_listener(
             self.options.caller_address,
             callers,
@@ -335,7 +335,7 @@
     }
 }
 
-impl Platform for Shared {
+impl PlatformHandler for Shared {
     fn readiness(&self) -> Result<(), &'static str> {
         if self.lifecycle.phase() != Phase::Serving {
             return Err("the entry is shutting down");
@@ -352,7 +352,7 @@
         Ok(())
     }
 
-    fn announce(&self, announcement: Announcement) -> Verdict {
+    fn handle_announcement(&self, announcement: Announcement) -> Verdict {
         let service = announcement.service.clone();
         let verdict = self.neighbours.announce(announcement);
         if verdict == Verdict::Left {
--- a/crates/auburnbridge_platform/src/lib.rs
+++ b/crates/auburnbridge_platform/src/lib.rs
@@ -16,7 +16,7 @@
 const MAX_ANNOUNCEMENT_BYTES: usize = 2_048;
 
 /// Handler of the calls that the platform and the targets make to an entry.
-pub trait Platform: Send + Sync + 'static {
+pub trait PlatformHandler: Send + Sync + 'static {
     /// Checks whether the load balancer may send requests to this entry.
     ///
     /// # Errors
@@ -25,14 +25,14 @@
     fn readiness(&self) -> Result<(), &'static str>;
 
     /// Handles an announcement of a target.
-    fn announce(&self, announcement: Announcement) -> Verdict;
+    fn handle_announcement(&self, announcement: Announcement) -> Verdict;
 }
 
 /// Builds the readiness endpoint for the load balancer.
-pub fn readiness_app(platform: Arc<dyn Platform>) -> tide::Server<()> {
+pub fn readiness_app(handler: Arc<dyn PlatformHandler>) -> tide::Server<()> {
     let mut app = tide::new();
     app.at(READY_PATH).get(move |_req: Request<()>| {
-        let readiness = platform.readiness();
+        let readiness = handler.readiness();
         async move {
             Ok(match readiness {
                 Ok(()) => json_response(StatusCode::Ok, &json!({"ready": true})),
@@ -47,16 +47,16 @@
 }
 
 /// Builds the announcement endpoint for targets.
-pub fn announcement_app(platform: Arc<dyn Platform>) -> tide::Server<()> {
+pub fn announcement_app(handler: Arc<dyn PlatformHandler>) -> tide::Server<()> {
     let mut app = tide::new();
     app.at(ANNOUNCE_PATH).post(move |req: Request<()>| {
-        let platform = Arc::clone(&platform);
-        async move { handle_announcement(platform.as_ref(), req).await }
+        let handler = Arc::clone(&handler);
+        async move { serve_announcement(handler.as_ref(), req).await }
     });
     app
 }
 
-async fn handle_announcement(platform: &dyn Platform, mut req: Request<()>) -> tide::Result {
+async fn serve_announcement(handler: &dyn PlatformHandler, mut req: Request<()>) -> tide::Result {
     let body = req.body_bytes().await?;
     if body.len() > MAX_ANNOUNCEMENT_BYTES {
         let error = format!("an announcement has at most {MAX_ANNOUNCEMENT_BYTES} bytes");
@@ -75,7 +75,7 @@
             ));
         }
     };
-    let verdict = platform.announce(announcement);
+    let verdict = handler.handle_announcement(announcement);
     let status = match verdict {
         Verdict::Accepted | Verdict::Left | Verdict::Outdated => StatusCode::Ok,
         Verdict::Conflict => StatusCode::Conflict,
