--- a/crates/auburnbridge/tests/processes/platform.rs
+++ b/crates/auburnbridge/tests/processes/platform.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::platform_fleet::{PlatformFleet, SealingTarget, eventually};
-use crate::wire::{CONFIG, FOREIGN_ANNOUNCEMENT, LEAVING, READY, document, target_path};
+use crate::wire::{CONFIG, INVALID_ANNOUNCEMENT, LEAVING, READY, document, target_path};
 
 fn is_served(fleet: &PlatformFleet, gateway: u8, path: &str) -> bool {
     fleet.send(gateway, "POST", path) == Some(200)
@@ -41,7 +41,7 @@
     let truncated = &document(2, "/b/")[..200];
     assert_eq!(fleet.call(0, "PUT", CONFIG, truncated).unwrap().status, 400);
     let path = target_path("i-9");
-    let refused = fleet.call(1, "PUT", &path, FOREIGN_ANNOUNCEMENT).unwrap();
+    let refused = fleet.call(1, "PUT", &path, INVALID_ANNOUNCEMENT).unwrap();
     assert_eq!(refused.status, 400);
     fleet.publish(&document(2, "/b/"));
     // An older version is acknowledged and changes nothing.
