--- a/crates/auburnbridge_entry/src/attempt.rs
+++ b/crates/auburnbridge_entry/src/attempt.rs
@@ -4,8 +4,8 @@
 use auburnbridge_http::{FramingError, Request, Response};
 use auburnbridge_metrics::{Counter, Timer};
 use auburnbridge_policy::{Observation, RequestClass};
-use auburnbridge_rules::Class;
-use auburnbridge_target::{Exchange, ExchangeResult, NotSent, Unknown};
+use auburnbridge_rules::RouteClass;
+use auburnbridge_target::{Exchange, ExchangeResult, NotSentReason, UnknownReason};
 use auburnbridge_types::{AttemptId, Millis, Timestamp};
 use futures_lite::FutureExt;
 use log::info;
@@ -31,9 +31,12 @@
     /// The target had no free slot and did not run the request.
     Shed,
     /// No byte was written to the target.
-    NotSent(NotSent),
+    NotSent(NotSentReason),
     /// The target may have run the request.
-    Unknown { reason: Unknown, crashed: bool },
+    Unknown {
+        reason: UnknownReason,
+        crashed: bool,
+    },
     /// The caller disconnected, and the exchange was cancelled.
     Cancelled,
 }
@@ -120,7 +123,7 @@
                 answer_started,
             } => {
                 let connection_lost =
-                    matches!(reason, Unknown::Framing(error) if is_connection_loss(error));
+                    matches!(reason, UnknownReason::Framing(error) if is_connection_loss(error));
                 let targets = &self.deps.targets;
                 let crashed = connection_lost
                     && !answer_started
@@ -180,11 +183,11 @@
             Self::Unknown { reason, .. } if reason.is_local() => Observation::NotAttributable,
             // A short deadline of the caller says nothing about the health of the target.
             Self::Unknown {
-                reason: Unknown::Deadline,
+                reason: UnknownReason::Deadline,
                 ..
             } if time < timeout.min(UNRESPONSIVE_AFTER) => Observation::NotAttributable,
             Self::Unknown {
-                reason: Unknown::Deadline,
+                reason: UnknownReason::Deadline,
                 ..
             } => Observation::TimedOut,
             Self::Unknown { .. } => Observation::InvalidAnswer,
@@ -206,7 +209,7 @@
 /// Request as it is sent to a target.
 fn outgoing_request(req: &CallerRequest, attempt: &AttemptId, now: Timestamp) -> Request {
     let mut message = req.message.clone();
-    message.verdict = auburnbridge_http::Verdict::Reuse;
+    message.keep_alive = auburnbridge_http::KeepAlive::Reuse;
     let remaining = req.deadline.since(now);
     message
         .headers
@@ -217,9 +220,9 @@
 }
 
 /// Converts the class of a route to that of the policy crate.
-pub(crate) fn request_class(class: Class) -> RequestClass {
+pub(crate) fn request_class(class: RouteClass) -> RequestClass {
     match class {
-        Class::Idempotent => RequestClass::Idempotent,
-        Class::Once => RequestClass::Once,
+        RouteClass::Idempotent => RequestClass::Idempotent,
+        RouteClass::Once => RequestClass::Once,
     }
 }
--- a/crates/auburnbridge_entry/src/dispatch.rs
+++ b/crates/auburnbridge_entry/src/dispatch.rs
@@ -5,8 +5,8 @@
 use auburnbridge_caller::{Disconnect, Problem};
 use auburnbridge_http::Response;
 use auburnbridge_policy::{CrashReport, TargetKey};
-use auburnbridge_rules::Class;
-use auburnbridge_types::{AttemptId, BodyDigest, ErrorKind};
+use auburnbridge_rules::RouteClass;
+use auburnbridge_types::{AttemptId, ErrorKind, RequestDigest};
 
 use crate::admission::{NotAdmitted, Permit};
 use crate::attempt::{ExchangeOutcome, request_class, unless_disconnected};
@@ -32,7 +32,7 @@
     entry: &'a Entry,
     req: &'a CallerRequest,
     service: Arc<ServiceFleet>,
-    digest: BodyDigest,
+    digest: RequestDigest,
     /// Cancels the request when the caller disconnects, if given.
     disconnect: Option<&'a Disconnect>,
     /// Permit of the service's admission queue, held from the first dispatch on.
@@ -150,7 +150,7 @@
         let failure = self.failure.as_ref();
         let is_shed = failure.is_some_and(|failure| failure.kind == ErrorKind::Overloaded);
         // A request that holds a grant also waits until a target becomes available.
-        if !is_shed && self.req.route.class == Class::Idempotent {
+        if !is_shed && self.req.route.class == RouteClass::Idempotent {
             return Some(false);
         }
         let wait = self.backoff.wait(self.entry, self.req.deadline);
--- a/crates/auburnbridge_entry/src/request.rs
+++ b/crates/auburnbridge_entry/src/request.rs
@@ -2,8 +2,8 @@
 
 use auburnbridge_caller::Problem;
 use auburnbridge_http::Request;
-use auburnbridge_rules::{Class, Method, Route, Rules};
-use auburnbridge_types::{AccountId, BodyDigest, ErrorKind, IdempotencyKey, Millis, Timestamp};
+use auburnbridge_rules::{Method, Route, RouteClass, Rules};
+use auburnbridge_types::{AccountId, ErrorKind, IdempotencyKey, Millis, RequestDigest, Timestamp};
 use sha2::{Digest, Sha256};
 
 /// Header with the idempotency key of a request of the class `Once`.
@@ -68,8 +68,8 @@
             .map_or(route.timeout, |wait: Millis| wait.min(route.timeout));
         let previous_attempts: Option<u32> = header(&message, PREVIOUS_ATTEMPTS_HEADER)?;
         let key = match route.class {
-            Class::Idempotent => None,
-            Class::Once => Some(header(&message, KEY_HEADER)?.ok_or_else(|| {
+            RouteClass::Idempotent => None,
+            RouteClass::Once => Some(header(&message, KEY_HEADER)?.ok_or_else(|| {
                 let detail = format!("{} {path} runs at most once", message.method);
                 Problem::new(ErrorKind::KeyMissing, detail)
             })?),
@@ -86,7 +86,7 @@
     }
 
     /// Digest of account, method, path and body, which identifies the request across resends.
-    pub fn digest(&self) -> BodyDigest {
+    pub fn digest(&self) -> RequestDigest {
         let mut hasher = Sha256::new();
         for part in [
             self.account.as_str().as_bytes(),
@@ -98,7 +98,7 @@
             hasher.update((part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
-        BodyDigest(hasher.finalize().into())
+        RequestDigest(hasher.finalize().into())
     }
 
     /// Prepares a rejection of a request that got no grant: turns the outcome `not-run` into
--- a/crates/auburnbridge_keeper/src/formation.rs
+++ b/crates/auburnbridge_keeper/src/formation.rs
@@ -33,7 +33,7 @@
     pub(crate) keepers: Arc<Mutex<Vec<PeerAddress>>>,
     /// Whether this keeper may found a group, which happens only at the first start of an
     /// installation.
-    pub(crate) may_found: bool,
+    pub(crate) may_found_group: bool,
     pub(crate) directory: PeerDirectory,
     pub(crate) transport: Arc<dyn Transport>,
     pub(crate) clock: Arc<dyn Clock>,
@@ -129,7 +129,7 @@
         keepers: &[PeerAddress],
         hellos: &[Option<KeeperHello>],
     ) -> Option<Members> {
-        if !self.may_found || keepers.first()?.vm != self.vm {
+        if !self.may_found_group || keepers.first()?.vm != self.vm {
             return None;
         }
         let mut members = vec![voter(self.vm.clone(), self.replica)];
--- a/crates/auburnbridge_ledger/src/command.rs
+++ b/crates/auburnbridge_ledger/src/command.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use auburnbridge_types::{AccountId, AttemptId, BodyDigest, IdempotencyKey, Millis, Timestamp};
+use auburnbridge_types::{AccountId, AttemptId, IdempotencyKey, Millis, RequestDigest, Timestamp};
 use serde::{Deserialize, Serialize};
 use strum::{Display, IntoStaticStr};
 
@@ -60,7 +60,7 @@
         key: LedgerKey,
         /// Digest of account, method, path and body, which distinguishes a resend from a reused
         /// key.
-        body_digest: BodyDigest,
+        request_digest: RequestDigest,
         /// The attempt that will dispatch the request.
         attempt: AttemptId,
         /// Log time at which the grant ends: from then on, a resend gets `Unknown` if the attempt
