--- a/crates/auburnbridge_capacity/src/fixtures.rs
+++ b/crates/auburnbridge_capacity/src/fixtures.rs
@@ -156,8 +156,8 @@
         key,
         request_digest: RequestDigest([number.to_be_bytes()[3]; 32]),
         attempt: attempt(number),
-        deadline: now.after(Millis(60_000)),
-        previous_attempts: Some(0),
+        grant_deadline: now.after(Millis(60_000)),
+        previous_sends: Some(0),
     }
 }
 
--- a/crates/auburnbridge_entry/src/keyed.rs
+++ b/crates/auburnbridge_entry/src/keyed.rs
@@ -56,8 +56,8 @@
             key: key.clone(),
             request_digest,
             attempt: attempt.clone(),
-            deadline: req.deadline.after(SETTLE_GRACE),
-            previous_attempts: req.previous_attempts,
+            grant_deadline: req.deadline.after(SETTLE_GRACE),
+            previous_sends: req.previous_attempts,
         };
         let reply = match entry.ledger.apply(command).await {
             Ok(reply) => reply,
--- a/crates/auburnbridge_ledger/src/command.rs
+++ b/crates/auburnbridge_ledger/src/command.rs
@@ -65,12 +65,12 @@
         attempt: AttemptId,
         /// Log time at which the grant ends: from then on, a resend gets `Unknown` if the attempt
         /// has not ended. It is the caller's deadline plus a grace period.
-        deadline: Timestamp,
+        grant_deadline: Timestamp,
         /// How often the caller has sent the request before, if stated.
         ///
         /// The grant is refused if an attempt of a later send has withdrawn: the caller may since
         /// have been told `not-run`, which must stay true.
-        previous_attempts: Option<u32>,
+        previous_sends: Option<u32>,
     },
     /// Returns the permission; the holder is certain that the request did not run.
     Withdraw {
--- a/crates/auburnbridge_ledger/src/ledger.rs
+++ b/crates/auburnbridge_ledger/src/ledger.rs
@@ -101,9 +101,9 @@
                 key,
                 request_digest,
                 attempt,
-                deadline,
-                previous_attempts,
-            } => self.grant(key, request_digest, attempt, deadline, previous_attempts),
+                grant_deadline,
+                previous_sends,
+            } => self.grant(key, request_digest, attempt, grant_deadline, previous_sends),
             Command::Withdraw { key, attempt } => {
                 let now = self.now;
                 self.update_record(&key, |record| record.withdraw(now, attempt))
@@ -151,8 +151,8 @@
         key: LedgerKey,
         request_digest: RequestDigest,
         attempt: AttemptId,
-        deadline: Timestamp,
-        previous_attempts: Option<u32>,
+        grant_deadline: Timestamp,
+        previous_sends: Option<u32>,
     ) -> Reply {
         if self.is_expired(&key) {
             return Reply::Expired;
@@ -162,11 +162,11 @@
                 self.now,
                 request_digest,
                 attempt,
-                deadline,
-                previous_attempts,
+                grant_deadline,
+                previous_sends,
             );
         }
-        if self.now >= deadline {
+        if self.now >= grant_deadline {
             return Reply::NotHolder;
         }
         if self.records.len() >= self.limits.max_records
@@ -181,8 +181,8 @@
                 self.now,
                 request_digest,
                 attempt,
-                deadline,
-                previous_attempts,
+                grant_deadline,
+                previous_sends,
             )
     }
 
--- a/crates/auburnbridge_ledger/src/record.rs
+++ b/crates/auburnbridge_ledger/src/record.rs
@@ -25,8 +25,8 @@
     Held {
         attempt: AttemptId,
         /// Log time at which the grant ends, as stated by the Grant.
-        deadline: Timestamp,
-        previous_attempts: Option<u32>,
+        grant_deadline: Timestamp,
+        previous_sends: Option<u32>,
     },
     /// The attempt ran the request.
     Answered {
@@ -77,8 +77,8 @@
     }
 
     /// Whether an attempt of a later send has withdrawn.
-    fn has_later_send_withdrawn(&self, previous_attempts: Option<u32>) -> bool {
-        previous_attempts.is_some_and(|send| Some(send) < self.latest_withdrawn_send)
+    fn has_later_send_withdrawn(&self, previous_sends: Option<u32>) -> bool {
+        previous_sends.is_some_and(|send| Some(send) < self.latest_withdrawn_send)
     }
 
     /// Whether there is room to record a withdrawal of the attempt.
@@ -110,8 +110,8 @@
         now: Timestamp,
         request_digest: RequestDigest,
         attempt: AttemptId,
-        deadline: Timestamp,
-        previous_attempts: Option<u32>,
+        grant_deadline: Timestamp,
+        previous_sends: Option<u32>,
     ) -> Reply {
         if request_digest != self.request_digest {
             return Reply::BodyMismatch;
@@ -119,19 +119,21 @@
         match &self.state {
             State::Answered { answer, .. } => Reply::Answered(answer.clone()),
             State::Abandoned { .. } => Reply::Unknown,
-            State::Held { deadline, .. } if now >= *deadline => Reply::Unknown,
+            State::Held { grant_deadline, .. } if now >= *grant_deadline => Reply::Unknown,
             State::Held {
                 attempt: holder, ..
             } if *holder == attempt => Reply::Granted,
             State::Held { .. } => Reply::InProgress,
-            State::Free if self.has_withdrawn(&attempt) || now >= deadline => Reply::NotHolder,
-            State::Free if self.has_later_send_withdrawn(previous_attempts) => Reply::NotHolder,
+            State::Free if self.has_withdrawn(&attempt) || now >= grant_deadline => {
+                Reply::NotHolder
+            }
+            State::Free if self.has_later_send_withdrawn(previous_sends) => Reply::NotHolder,
             State::Free if !self.can_record_withdrawal(&attempt) => Reply::Full,
             State::Free => {
                 self.state = State::Held {
                     attempt,
-                    deadline,
-                    previous_attempts,
+                    grant_deadline,
+                    previous_sends,
                 };
                 Reply::Granted
             }
@@ -147,13 +149,13 @@
         match &self.state {
             State::Held {
                 attempt: holder,
-                deadline,
-                previous_attempts,
+                grant_deadline,
+                previous_sends,
             } if *holder == attempt => {
-                if now >= *deadline {
+                if now >= *grant_deadline {
                     return Reply::Unknown;
                 }
-                self.latest_withdrawn_send = self.latest_withdrawn_send.max(*previous_attempts);
+                self.latest_withdrawn_send = self.latest_withdrawn_send.max(*previous_sends);
                 self.state = State::Free;
                 self.record_withdrawal(attempt);
                 Reply::Done
--- a/crates/auburnbridge_ledger/tests/ledger.rs
+++ b/crates/auburnbridge_ledger/tests/ledger.rs
@@ -32,18 +32,18 @@
         key: key.clone(),
         request_digest: RequestDigest([1; 32]),
         attempt: attempt.clone(),
-        deadline: START.after(Millis(deadline)),
-        previous_attempts: None,
+        grant_deadline: START.after(Millis(deadline)),
+        previous_sends: None,
     }
 }
 
-fn resend(key: &LedgerKey, attempt: &AttemptId, previous_attempts: u32) -> Command {
+fn resend(key: &LedgerKey, attempt: &AttemptId, previous_sends: u32) -> Command {
     Command::Grant {
         key: key.clone(),
         request_digest: RequestDigest([1; 32]),
         attempt: attempt.clone(),
-        deadline: START.after(Millis(100)),
-        previous_attempts: Some(previous_attempts),
+        grant_deadline: START.after(Millis(100)),
+        previous_sends: Some(previous_sends),
     }
 }
 
@@ -77,8 +77,8 @@
         key: k.clone(),
         request_digest: RequestDigest([2; 32]),
         attempt: b.clone(),
-        deadline: START.after(Millis(100)),
-        previous_attempts: None,
+        grant_deadline: START.after(Millis(100)),
+        previous_sends: None,
     };
     let whole = Reply::Answered(StoredAnswer::new(b"ok"));
     let large = vec![0; 64 * 1024 + 1];
@@ -349,14 +349,14 @@
             prop_assert!(ledger.len() <= limits.max_records);
             prop_assert!(ledger.stored_size() <= limits.max_stored_size);
             match (command, reply) {
-                (Command::Grant { key, attempt, deadline, previous_attempts, .. }, Reply::Granted) => {
+                (Command::Grant { key, attempt, grant_deadline, previous_sends, .. }, Reply::Granted) => {
                     let seen = observed.entry(key).or_default();
-                    prop_assert!(now < deadline || seen.holder.is_some());
+                    prop_assert!(now < grant_deadline || seen.holder.is_some());
                     prop_assert!(!seen.concluded);
                     prop_assert!(!seen.withdrawn.contains(&attempt));
                     if seen.holder.is_none() {
-                        seen.held_send = previous_attempts;
-                        let send = previous_attempts.unwrap_or(u32::MAX);
+                        seen.held_send = previous_sends;
+                        let send = previous_sends.unwrap_or(u32::MAX);
                         prop_assert!(Some(send) >= seen.latest_withdrawn_send);
                     }
                     let holder = seen.holder.get_or_insert_with(|| attempt.clone());
