--- a/crates/auburnbridge_entry/src/target_client.rs
+++ b/crates/auburnbridge_entry/src/target_client.rs
@@ -39,7 +39,7 @@
     ) -> BoxFuture<'a, Exchange> {
         match class {
             RequestClass::Idempotent => Box::pin(self.exchange(address, req, limits, deadline)),
-            RequestClass::Once => Box::pin(self.exchange_fresh(address, req, limits, deadline)),
+            RequestClass::Once => Box::pin(self.exchange_on_recent(address, req, limits, deadline)),
         }
     }
 
--- a/crates/auburnbridge_gateway/src/exchange.rs
+++ b/crates/auburnbridge_gateway/src/exchange.rs
@@ -85,7 +85,7 @@
         match self.incoming.route.class {
             RequestClass::Idempotent => pool.exchange(address, request, &limits, deadline).await,
             RequestClass::Once => {
-                pool.exchange_fresh(address, request, &limits, deadline)
+                pool.exchange_on_recent(address, request, &limits, deadline)
                     .await
             }
         }
--- a/crates/auburnbridge_gateway/src/run.rs
+++ b/crates/auburnbridge_gateway/src/run.rs
@@ -214,7 +214,7 @@
     let pool = Pool::builder(Arc::clone(clock))
         .connect_timeout(CONNECT_TIMEOUT)
         .idle_timeout(POOL_IDLE_TIMEOUT)
-        .freshness(ONCE_MAX_IDLE)
+        .max_reuse_idle(ONCE_MAX_IDLE)
         .connections_per_target(options.connections_per_target)
         .echo_header(options.dialect.headers().attempt)
         .build();
--- a/crates/auburnbridge_target/src/pool.rs
+++ b/crates/auburnbridge_target/src/pool.rs
@@ -21,7 +21,7 @@
 const DEFAULT_CONNECT_TIMEOUT: Millis = Millis(250);
 const DEFAULT_IDLE_TIMEOUT: Millis = Millis(30_000);
 /// Shorter than the idle timeout of common servers, a few seconds, usually 5 or more.
-const DEFAULT_FRESHNESS: Millis = Millis(1_000);
+const DEFAULT_MAX_REUSE_IDLE: Millis = Millis(1_000);
 /// A target accepts about 350 connections, which 13 to 16 entries share.
 const DEFAULT_CONNECTIONS_PER_TARGET: usize = 20;
 
@@ -32,7 +32,7 @@
     clock: Arc<dyn Clock>,
     connect_timeout: Millis,
     idle_timeout: Millis,
-    freshness: Millis,
+    max_reuse_idle: Millis,
     connections_per_target: usize,
     echo_header: Option<&'static str>,
 }
@@ -52,10 +52,10 @@
         self
     }
 
-    /// Limits the idle time of a connection that [`Pool::exchange_fresh`] reuses (default 1 s).
+    /// Limits the idle time of a connection that [`Pool::exchange_on_recent`] reuses (default 1 s).
     #[must_use]
-    pub fn freshness(mut self, freshness: Millis) -> Self {
-        self.freshness = freshness;
+    pub fn max_reuse_idle(mut self, max_idle_time: Millis) -> Self {
+        self.max_reuse_idle = max_idle_time;
         self
     }
 
@@ -104,7 +104,7 @@
             clock,
             connect_timeout: DEFAULT_CONNECT_TIMEOUT,
             idle_timeout: DEFAULT_IDLE_TIMEOUT,
-            freshness: DEFAULT_FRESHNESS,
+            max_reuse_idle: DEFAULT_MAX_REUSE_IDLE,
             connections_per_target: DEFAULT_CONNECTIONS_PER_TARGET,
             echo_header: None,
         }
@@ -121,8 +121,8 @@
         limits: &Limits,
         deadline: Timestamp,
     ) -> Exchange {
-        let freshness = self.options.idle_timeout;
-        self.exchange_within(address, request, limits, deadline, freshness)
+        let max_idle_time = self.options.idle_timeout;
+        self.exchange_within(address, request, limits, deadline, max_idle_time)
             .await
     }
 
@@ -130,15 +130,15 @@
     ///
     /// Reuses only recently used connections, since a target may close one that has been idle for
     /// longer while the request is in transit, which leaves the outcome unknown.
-    pub async fn exchange_fresh(
+    pub async fn exchange_on_recent(
         &self,
         address: SocketAddr,
         request: &Request,
         limits: &Limits,
         deadline: Timestamp,
     ) -> Exchange {
-        let freshness = self.options.freshness.min(self.options.idle_timeout);
-        self.exchange_within(address, request, limits, deadline, freshness)
+        let max_idle_time = self.options.max_reuse_idle.min(self.options.idle_timeout);
+        self.exchange_within(address, request, limits, deadline, max_idle_time)
             .await
     }
 
@@ -173,13 +173,13 @@
         request: &Request,
         limits: &Limits,
         deadline: Timestamp,
-        freshness: Millis,
+        max_idle_time: Millis,
     ) -> Exchange {
         let mut encoded = Vec::new();
         encode_request(request, &mut encoded);
         let target = self.target(address);
         loop {
-            let lease = match self.lease(address, &target, deadline, freshness).await {
+            let lease = match self.lease(address, &target, deadline, max_idle_time).await {
                 Ok(lease) => lease,
                 Err(reason) => return Exchange::not_sent(reason),
             };
@@ -218,7 +218,7 @@
         address: SocketAddr,
         target: &TargetConnections,
         deadline: Timestamp,
-        freshness: Millis,
+        max_idle_time: Millis,
     ) -> Result<Lease, NotSentReason> {
         if self.options.clock.now() >= deadline {
             return Err(NotSentReason::Deadline);
@@ -229,7 +229,7 @@
         if now >= deadline {
             return Err(NotSentReason::AllInUse);
         }
-        if let Some(connection) = target.take_usable(now, freshness) {
+        if let Some(connection) = target.take_usable(now, max_idle_time) {
             return Ok(Lease {
                 connection,
                 is_reused: true,
--- a/crates/auburnbridge_target/tests/reuse.rs
+++ b/crates/auburnbridge_target/tests/reuse.rs
@@ -12,7 +12,7 @@
     wait_for_socket,
 };
 
-const FRESHNESS: Millis = Millis(1_000);
+const MAX_REUSE_IDLE: Millis = Millis(1_000);
 const IDLE_TIMEOUT: Millis = Millis(30_000);
 
 /// Runs one exchange on a new connection and returns the target's end of it.
@@ -103,14 +103,14 @@
         let deadline = target.clock.now().after(TIME_LIMIT);
         let exchange = target
             .pool
-            .exchange_fresh(target.address, &request, &limits, deadline);
+            .exchange_on_recent(target.address, &request, &limits, deadline);
         describe(exchange.await)
     };
     let mut old = connect(&target).await;
-    target.clock.advance(Millis(FRESHNESS.0 - 1));
+    target.clock.advance(Millis(MAX_REUSE_IDLE.0 - 1));
     let result = run_with_target(send_fresh(), serve_raw(&mut old, OK)).await;
     assert_eq!(result, answered("ok", true));
-    target.clock.advance(FRESHNESS);
+    target.clock.advance(MAX_REUSE_IDLE);
     let serving = async {
         let mut new = target.accept().await;
         serve_raw(&mut new, OK).await;
