--- a/crates/auburnbridge_capacity/src/choice.rs
+++ b/crates/auburnbridge_capacity/src/choice.rs
@@ -1,6 +1,6 @@
 //! Measures target selection and placement for one service.
 
-use auburnbridge_policy::{Fleet, Member, Observation, RequestClass, ServicePolicy};
+use auburnbridge_policy::{EjectionPolicy, Fleet, Member, Observation, RequestClass};
 use auburnbridge_types::{Millis, Slots};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -27,7 +27,7 @@
     for targets in SIZES {
         let members: Vec<Member> = (0..targets).map(fixtures::member).collect();
         let (mut fleet, bytes) = heap_bytes(|| {
-            let policy = ServicePolicy::builder().floor(Slots(targets)).build();
+            let policy = EjectionPolicy::builder().floor(Slots(targets)).build();
             let mut fleet = Fleet::new(policy);
             fleet.reconcile(START, &members);
             fleet
--- a/crates/auburnbridge_capacity/src/fixtures.rs
+++ b/crates/auburnbridge_capacity/src/fixtures.rs
@@ -76,7 +76,7 @@
         data_centre: announced.data_centre,
         incarnation: announced.incarnation,
         slots: announced.slots,
-        presence: Presence::Ready,
+        presence: Presence::Fresh,
     }
 }
 
--- a/crates/auburnbridge_entry/src/fleets.rs
+++ b/crates/auburnbridge_entry/src/fleets.rs
@@ -11,8 +11,8 @@
 use auburnbridge_messages::ServiceEvidence;
 use auburnbridge_metrics::{Counter, Metrics};
 use auburnbridge_policy::{
-    Action, AdmissionPolicy, Choice, Decision, Fleet, Member, Observation, RequestClass,
-    RetryBudget, Sensitivity, ServicePolicy, TargetKey, TargetView,
+    Action, AdmissionPolicy, Choice, Decision, EjectionPolicy, Fleet, Member, Observation,
+    RequestClass, RetryBudget, Sensitivity, TargetKey, TargetView,
 };
 use auburnbridge_rules::{Rules, Service};
 use auburnbridge_types::{Clock, DataCentre, Incarnation, ServiceName, TargetId, Timestamp, VmId};
@@ -194,7 +194,7 @@
         let mut services = self.services.write();
         services.retain(|name, _| rules.service(name).is_some());
         for service in rules.services() {
-            let policy = policy_of(service);
+            let policy = ejection_policy_of(service);
             let retries = RetryBudget::new(now, service.retry_percent.0, service.retry_rate);
             if let Some(fleet) = services.get(&service.name) {
                 let mut state = fleet.state.lock();
@@ -276,13 +276,13 @@
 fn admission_policy_of(service: &Service) -> AdmissionPolicy {
     AdmissionPolicy {
         queue_limit: service.queue as usize,
-        lookup_share: f64::from(service.lookup_share.0) / 100.0,
+        idempotent_share: f64::from(service.lookup_share.0) / 100.0,
         ..AdmissionPolicy::default()
     }
 }
 
-fn policy_of(service: &Service) -> ServicePolicy {
-    ServicePolicy::builder()
+fn ejection_policy_of(service: &Service) -> EjectionPolicy {
+    EjectionPolicy::builder()
         .floor(service.slots_floor)
         .sensitivity(Sensitivity::new(service.ejection.0))
         .build()
--- a/crates/auburnbridge_entry/src/neighbours.rs
+++ b/crates/auburnbridge_entry/src/neighbours.rs
@@ -343,8 +343,8 @@
     }
 }
 
-/// Converts an announcement to a member of a fleet. A fresh announcement, one with a lease, makes
-/// the target ready. Announcements of leaving targets don't get here.
+/// Converts an announcement to a member of a fleet. A fresh announcement is one with a valid lease.
+/// Announcements of leaving targets don't get here.
 fn member(announcement: &Announcement, liveness: Liveness, now: Timestamp) -> Member {
     Member {
         id: announcement.target.clone(),
@@ -353,7 +353,7 @@
         incarnation: announcement.incarnation,
         slots: announcement.slots,
         presence: match liveness {
-            Liveness::Fresh => Presence::Ready,
+            Liveness::Fresh => Presence::Fresh,
             Liveness::Stale => Presence::Stale(now),
         },
     }
--- a/crates/auburnbridge_entry/tests/request_path/scenario.rs
+++ b/crates/auburnbridge_entry/tests/request_path/scenario.rs
@@ -138,7 +138,7 @@
         data_centre: "north".parse().unwrap(),
         incarnation: Incarnation(1),
         slots: Slots(3),
-        presence: Presence::Ready,
+        presence: Presence::Fresh,
     }
 }
 
--- a/crates/auburnbridge_policy/examples/admission/simulation.rs
+++ b/crates/auburnbridge_policy/examples/admission/simulation.rs
@@ -5,8 +5,8 @@
 use std::collections::BinaryHeap;
 
 use auburnbridge_policy::{
-    AdmissionPolicy, AdmissionQueue, Completion, Dequeued, Fleet, Member, Observation, Presence,
-    QueuedRequest, RequestClass, Reservation, ServicePolicy, TargetKey,
+    AdmissionPolicy, AdmissionQueue, Completion, Dequeued, EjectionPolicy, Fleet, Member,
+    Observation, Presence, QueuedRequest, RequestClass, Reservation, TargetKey,
 };
 use auburnbridge_types::{Incarnation, Millis, Slots, Timestamp};
 use rand::{Rng, SeedableRng};
@@ -159,7 +159,7 @@
 
 fn entry(scenario: Scenario, at: usize) -> Entry {
     let members: Vec<Member> = (0..TARGETS).map(member).collect();
-    let mut fleet = Fleet::new(ServicePolicy::builder().build());
+    let mut fleet = Fleet::new(EjectionPolicy::builder().build());
     fleet.reconcile(Timestamp(EPOCH_MS), &members);
     let slots = TARGETS * SLOTS as usize;
     let leased: Vec<usize> = (0..slots)
@@ -188,7 +188,7 @@
         data_centre: "dc0".parse().expect("the name is valid"),
         incarnation: Incarnation(1),
         slots: Slots(SLOTS),
-        presence: Presence::Ready,
+        presence: Presence::Fresh,
     }
 }
 
--- a/crates/auburnbridge_policy/examples/decision_cost.rs
+++ b/crates/auburnbridge_policy/examples/decision_cost.rs
@@ -13,8 +13,8 @@
 use std::time::Instant;
 
 use auburnbridge_policy::{
-    AccountLimit, AccountLimiter, EvidenceReport, Fleet, Member, Observation, Presence,
-    RequestClass, ServicePolicy,
+    AccountLimit, AccountLimiter, EjectionPolicy, EvidenceReport, Fleet, Member, Observation,
+    Presence, RequestClass,
 };
 use auburnbridge_types::{Incarnation, Millis, RatePerSecond, Slots, Timestamp};
 use rand::SeedableRng;
@@ -65,7 +65,7 @@
 }
 
 fn fleet(in_flight: usize, suspects: usize) -> Fleet {
-    let mut fleet = Fleet::new(ServicePolicy::builder().build())
+    let mut fleet = Fleet::new(EjectionPolicy::builder().build())
         .with_data_centre("east".parse().expect("the name is valid"));
     let members: Vec<Member> = (0..TARGETS).map(member).collect();
     fleet.reconcile(START, &members);
@@ -91,7 +91,7 @@
         data_centre: "east".parse().expect("the name is valid"),
         incarnation: Incarnation(1),
         slots: Slots(3),
-        presence: Presence::Ready,
+        presence: Presence::Fresh,
     }
 }
 
--- a/crates/auburnbridge_policy/examples/ejection_curve/selector.rs
+++ b/crates/auburnbridge_policy/examples/ejection_curve/selector.rs
@@ -1,7 +1,7 @@
 //! Choice and ejection of targets on an entry: the measured policy and two baselines.
 
 use auburnbridge_policy::{
-    Action, Decision, EvidenceReport, Fleet, Member, Observation, RequestClass, ServicePolicy,
+    Action, Decision, EjectionPolicy, EvidenceReport, Fleet, Member, Observation, RequestClass,
     TargetKey,
 };
 use auburnbridge_types::{DataCentre, Millis, Slots, TargetId, Timestamp, VmId};
@@ -55,7 +55,7 @@
     /// Creates the state of an entry with the given members.
     pub fn new(
         algorithm: Algorithm,
-        policy: &ServicePolicy,
+        policy: &EjectionPolicy,
         data_centre: DataCentre,
         now: Timestamp,
         members: &[Member],
--- a/crates/auburnbridge_policy/examples/ejection_curve/simulation.rs
+++ b/crates/auburnbridge_policy/examples/ejection_curve/simulation.rs
@@ -7,7 +7,7 @@
 use std::collections::BinaryHeap;
 
 use auburnbridge_policy::{
-    Member, Observation, Presence, RequestClass, Sensitivity, ServicePolicy, TargetKey,
+    EjectionPolicy, Member, Observation, Presence, RequestClass, Sensitivity, TargetKey,
 };
 use auburnbridge_types::{DataCentre, Incarnation, Slots, Timestamp};
 use rand::{Rng, SeedableRng};
@@ -124,7 +124,7 @@
 pub fn run(scenario: Scenario, seed: u64) -> Outcome {
     let service = scenario.service;
     let members: Vec<Member> = (0..service.targets).map(|at| member(service, at)).collect();
-    let policy = ServicePolicy::builder()
+    let policy = EjectionPolicy::builder()
         .floor(Slots(service.floor))
         .sensitivity(scenario.sensitivity)
         .build();
@@ -170,7 +170,7 @@
         data_centre: data_centre(at % service.data_centres),
         incarnation: Incarnation(1),
         slots: Slots(service.slots),
-        presence: Presence::Ready,
+        presence: Presence::Fresh,
     }
 }
 
--- a/crates/auburnbridge_policy/src/admission.rs
+++ b/crates/auburnbridge_policy/src/admission.rs
@@ -51,7 +51,7 @@
     pub queue_limit: usize,
     /// Share of the starts guaranteed to queued idempotent requests, from `lookup-share` in the
     /// rules file.
-    pub lookup_share: f64,
+    pub idempotent_share: f64,
     /// Slots reserved for non-idempotent requests.
     pub reservation: Reservation,
 }
@@ -60,7 +60,7 @@
     fn default() -> Self {
         Self {
             queue_limit: 256,
-            lookup_share: 0.1,
+            idempotent_share: 0.1,
             reservation: Reservation::LookAhead,
         }
     }
@@ -223,7 +223,7 @@
     }
 
     fn admits_idempotent(&self, running: f64) -> bool {
-        let guaranteed = (self.concurrency_limit * self.policy.lookup_share).max(1.0);
+        let guaranteed = (self.concurrency_limit * self.policy.idempotent_share).max(1.0);
         if f64::from(self.running_idempotent) < guaranteed && running < self.concurrency_limit {
             return true;
         }
@@ -258,7 +258,7 @@
                 if self.idempotent.is_empty() {
                     self.idempotent_credit = 0.0;
                 } else {
-                    let share = self.policy.lookup_share;
+                    let share = self.policy.idempotent_share;
                     self.idempotent_credit =
                         (self.idempotent_credit + share / (1.0 - share)).min(2.0);
                 }
@@ -321,7 +321,7 @@
             // Idempotent requests get the remaining capacity, and at least their guaranteed share.
             RequestClass::Idempotent => (1.0
                 - self.service_ms / self.once_interarrival_ms / self.concurrency_limit)
-                .max(self.policy.lookup_share),
+                .max(self.policy.idempotent_share),
         };
         let ahead = u32::try_from(self.queue(class).len()).unwrap_or(u32::MAX);
         let wait = f64::from(ahead) * self.service_ms / (self.concurrency_limit * share);
--- a/crates/auburnbridge_policy/src/fleet.rs
+++ b/crates/auburnbridge_policy/src/fleet.rs
@@ -19,7 +19,7 @@
     EvidenceReport, MAX_REPORTS, OwnEvidence, REPORT_LIFETIME, REPORT_THRESHOLD, suspect_weight,
 };
 use crate::health::{Observation, slow_limit_ms};
-use crate::policy::ServicePolicy;
+use crate::policy::EjectionPolicy;
 use crate::target::{Member, Presence, ServiceState, Target};
 
 new_key_type! {
@@ -92,7 +92,7 @@
 /// The targets of one service.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    policy: ServicePolicy,
+    policy: EjectionPolicy,
     data_centre: Option<DataCentre>,
     targets: SlotMap<TargetKey, Target>,
     by_id: HashMap<TargetId, TargetKey>,
@@ -108,7 +108,7 @@
 
 impl Fleet {
     /// Creates a fleet without targets.
-    pub fn new(policy: ServicePolicy) -> Self {
+    pub fn new(policy: EjectionPolicy) -> Self {
         Self {
             policy,
             data_centre: None,
@@ -130,7 +130,7 @@
     }
 
     /// Replaces the policy and reinstates targets if the new floor requires it.
-    pub fn set_policy(&mut self, now: Timestamp, policy: ServicePolicy) -> Vec<Decision> {
+    pub fn set_policy(&mut self, now: Timestamp, policy: EjectionPolicy) -> Vec<Decision> {
         self.policy = policy;
         self.restore_floor(now)
     }
@@ -551,7 +551,7 @@
                     Presence::Stale(since) if lease_is_lost(now, since, target) => {
                         self.try_eject(now, key, Reason::LeaseLost)
                     }
-                    Presence::Stale(_) | Presence::Ready => Vec::new(),
+                    Presence::Stale(_) | Presence::Fresh => Vec::new(),
                 }
             }
             ServiceState::Ejected { .. } | ServiceState::Trial { .. } => Vec::new(),
--- a/crates/auburnbridge_policy/src/lib.rs
+++ b/crates/auburnbridge_policy/src/lib.rs
@@ -40,7 +40,7 @@
 pub use health::{Health, Observation};
 pub use limits::{AccountLimit, AccountLimiter};
 pub use poison::{CRASH_LIMIT, CrashReport, POISON_TIME, PoisonTable};
-pub use policy::{Sensitivity, ServicePolicy, ServicePolicyBuilder};
+pub use policy::{EjectionPolicy, EjectionPolicyBuilder, Sensitivity};
 pub use retry::RetryBudget;
 pub use target::{Member, Presence, ServiceState};
 
--- a/crates/auburnbridge_policy/src/policy.rs
+++ b/crates/auburnbridge_policy/src/policy.rs
@@ -72,7 +72,7 @@
 /// Ejection settings of one service. Its queue and retry settings are those of
 /// [`crate::AdmissionPolicy`] and [`crate::RetryBudget`].
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServicePolicy {
+pub struct EjectionPolicy {
     /// Minimum number of slots that ejections leave in use.
     pub floor: Slots,
     /// Trade-off between false ejections and detection time.
@@ -88,10 +88,10 @@
     pub ejection_decay_time: Millis,
 }
 
-impl ServicePolicy {
+impl EjectionPolicy {
     /// Returns a builder with the default settings.
-    pub fn builder() -> ServicePolicyBuilder {
-        ServicePolicyBuilder(Self {
+    pub fn builder() -> EjectionPolicyBuilder {
+        EjectionPolicyBuilder(Self {
             floor: Slots(0),
             sensitivity: Sensitivity::CAREFUL,
             base_ejection_time: Millis(5_000),
@@ -102,11 +102,11 @@
     }
 }
 
-/// Builds a [`ServicePolicy`].
+/// Builds an [`EjectionPolicy`].
 #[derive(Clone, Debug)]
-pub struct ServicePolicyBuilder(ServicePolicy);
+pub struct EjectionPolicyBuilder(EjectionPolicy);
 
-impl ServicePolicyBuilder {
+impl EjectionPolicyBuilder {
     /// Sets the floor.
     #[must_use]
     pub fn floor(mut self, floor: Slots) -> Self {
@@ -150,7 +150,7 @@
     }
 
     /// Returns the policy.
-    pub fn build(self) -> ServicePolicy {
+    pub fn build(self) -> EjectionPolicy {
         self.0
     }
 }
--- a/crates/auburnbridge_policy/src/target.rs
+++ b/crates/auburnbridge_policy/src/target.rs
@@ -14,7 +14,8 @@
 #[strum(serialize_all = "kebab-case")]
 pub enum Presence {
     /// The lease is valid.
-    Ready,
+    #[strum(serialize = "ready")]
+    Fresh,
     /// The lease expired at this time.
     Stale(Timestamp),
 }
--- a/crates/auburnbridge_policy/tests/admission.rs
+++ b/crates/auburnbridge_policy/tests/admission.rs
@@ -8,10 +8,10 @@
 
 const START: Timestamp = Timestamp(1_000_000);
 
-fn policy(lookup_share: f64) -> AdmissionPolicy {
+fn policy(idempotent_share: f64) -> AdmissionPolicy {
     AdmissionPolicy {
         queue_limit: 1_000,
-        lookup_share,
+        idempotent_share,
         reservation: Reservation::None,
     }
 }
--- a/crates/auburnbridge_policy/tests/evidence.rs
+++ b/crates/auburnbridge_policy/tests/evidence.rs
@@ -1,8 +1,8 @@
 //! Tests of the evidence of one entry and its exchange between entries.
 
 use auburnbridge_policy::{
-    Action, EvidenceReport, Fleet, Member, Observation, Presence, RequestClass, Sensitivity,
-    ServicePolicy, TargetKey,
+    Action, EjectionPolicy, EvidenceReport, Fleet, Member, Observation, Presence, RequestClass,
+    Sensitivity, TargetKey,
 };
 use auburnbridge_types::{Incarnation, Millis, Slots, Timestamp};
 use rand::SeedableRng;
@@ -18,12 +18,12 @@
         data_centre: "east".parse().unwrap(),
         incarnation: Incarnation(1),
         slots: Slots(3),
-        presence: Presence::Ready,
+        presence: Presence::Fresh,
     }
 }
 
 fn fleet(data_centre: &str) -> Fleet {
-    let policy = ServicePolicy::builder()
+    let policy = EjectionPolicy::builder()
         .sensitivity(Sensitivity::FAST)
         .build();
     let mut fleet = Fleet::new(policy).with_data_centre(data_centre.parse().unwrap());
--- a/crates/auburnbridge_policy/tests/floor.rs
+++ b/crates/auburnbridge_policy/tests/floor.rs
@@ -1,8 +1,8 @@
 //! Exhaustive tests of the floor: all event sequences on small fleets, with one or two entries.
 
 use auburnbridge_policy::{
-    EvidenceReport, Fleet, Member, Observation, Presence, RequestClass, Sensitivity, ServicePolicy,
-    ServiceState,
+    EjectionPolicy, EvidenceReport, Fleet, Member, Observation, Presence, RequestClass,
+    Sensitivity, ServiceState,
 };
 use auburnbridge_types::{Incarnation, Millis, Slots, Timestamp};
 use rand::SeedableRng;
@@ -49,7 +49,7 @@
 
 impl Entry {
     fn new(slots: &[u32], floor: u32) -> Self {
-        let policy = ServicePolicy::builder()
+        let policy = EjectionPolicy::builder()
             .floor(Slots(floor))
             .sensitivity(Sensitivity::FAST)
             .build();
@@ -60,7 +60,7 @@
                 data_centre: "east".parse().unwrap(),
                 incarnation: Incarnation(1),
                 slots: Slots(*slots),
-                presence: Presence::Ready,
+                presence: Presence::Fresh,
             })
         });
         let mut entry = Self {
@@ -108,7 +108,7 @@
             }
             Event::Success(target) => self.send(*now, target, Observation::Answered(Millis(5))),
             Event::LeaseLost(target) => self.set_presence(target, Presence::Stale(*now)),
-            Event::LeaseRenewed(target) => self.set_presence(target, Presence::Ready),
+            Event::LeaseRenewed(target) => self.set_presence(target, Presence::Fresh),
             Event::Restart(target) => {
                 if let Some(member) = &mut self.members[target] {
                     member.incarnation = Incarnation(member.incarnation.0 + 1);
