--- a/crates/auburnbridge_keeper/src/operator_store.rs
+++ b/crates/auburnbridge_keeper/src/operator_store.rs
@@ -4,7 +4,7 @@
 
 use auburnbridge_config::{Edit, EditReply, HistoryEntry};
 use auburnbridge_messages::{self as messages, Reply, Request};
-use auburnbridge_operator::{ConfigStore, FleetStatus, RulesInForce, StoreError, TargetStatus};
+use auburnbridge_operator::{ConfigStore, CurrentRules, FleetStatus, StoreError, TargetStatus};
 use auburnbridge_peer::{Delivery, Transport};
 use auburnbridge_types::{BoxFuture, Millis, VmId};
 use log::debug;
@@ -100,12 +100,12 @@
 }
 
 impl ConfigStore for OperatorStore {
-    fn rules(&self) -> BoxFuture<'_, Result<RulesInForce, StoreError>> {
+    fn rules(&self) -> BoxFuture<'_, Result<CurrentRules, StoreError>> {
         Box::pin(async {
             self.core
                 .ask(|reply| Event::AppliedRules { reply })
                 .await
-                .map(|(revision, rules)| RulesInForce { revision, rules })
+                .map(|(revision, rules)| CurrentRules { revision, rules })
                 .ok_or(StoreError::Unavailable)
         })
     }
--- a/crates/auburnbridge_operator/src/edits.rs
+++ b/crates/auburnbridge_operator/src/edits.rs
@@ -14,7 +14,7 @@
 use crate::keys::OperatorKey;
 use crate::problem::{Problem, ProblemKind, accepted_revision};
 use crate::server::State;
-use crate::store::RulesInForce;
+use crate::store::CurrentRules;
 
 const EDIT_ID_HEADER: &str = "Auburnbridge-Edit-Id";
 
@@ -75,7 +75,7 @@
     }
 
     /// Checks whether the edit may be proposed, and returns its change.
-    async fn check(&self, current: RulesInForce, change: Change) -> Result<Change, Problem> {
+    async fn check(&self, current: CurrentRules, change: Change) -> Result<Change, Problem> {
         if current.revision < self.expected {
             // This process does not have the rules against which the edit must be authorized.
             let detail = format!("revision {} is in force here", current.revision);
--- a/crates/auburnbridge_operator/src/lib.rs
+++ b/crates/auburnbridge_operator/src/lib.rs
@@ -20,4 +20,4 @@
 pub use keys::{KeyDigest, OperatorKey, OperatorKeys};
 pub use problem::{Problem, ProblemKind};
 pub use server::{OperatorServer, State, server};
-pub use store::{ConfigStore, FleetStatus, RulesInForce, StoreError, TargetStatus, VmStatus};
+pub use store::{ConfigStore, CurrentRules, FleetStatus, StoreError, TargetStatus, VmStatus};
--- a/crates/auburnbridge_operator/src/store.rs
+++ b/crates/auburnbridge_operator/src/store.rs
@@ -13,7 +13,7 @@
 pub trait ConfigStore: Send + Sync {
     /// Returns the rules that this process has applied, with their revision. They may lag behind the
     /// log.
-    fn rules(&self) -> BoxFuture<'_, Result<RulesInForce, StoreError>>;
+    fn rules(&self) -> BoxFuture<'_, Result<CurrentRules, StoreError>>;
 
     /// Returns the accepted edits, oldest first.
     fn history(&self) -> BoxFuture<'_, Result<Vec<HistoryEntry>, StoreError>>;
@@ -39,7 +39,7 @@
 
 /// The rules at one revision.
 #[derive(Clone, Debug)]
-pub struct RulesInForce {
+pub struct CurrentRules {
     /// The revision.
     pub revision: Revision,
     /// The rules.
--- a/crates/auburnbridge_operator/tests/operator.rs
+++ b/crates/auburnbridge_operator/tests/operator.rs
@@ -7,8 +7,8 @@
 use async_std::task::block_on;
 use auburnbridge_config::{Edit, EditReply, HistoryEntry, RulesState};
 use auburnbridge_operator::{
-    ConfigStore, FleetStatus, KeyDigest, MAX_LINE_EDIT_BYTES, OperatorKey, OperatorKeys,
-    OperatorServer, RulesInForce, StoreError, TargetStatus, VmStatus, server,
+    ConfigStore, CurrentRules, FleetStatus, KeyDigest, MAX_LINE_EDIT_BYTES, OperatorKey,
+    OperatorKeys, OperatorServer, StoreError, TargetStatus, VmStatus, server,
 };
 use auburnbridge_rules::TeamScope;
 use auburnbridge_types::{BoxFuture, IdempotencyKey, Incarnation, Revision, Slots, Timestamp};
@@ -28,18 +28,18 @@
     config: Mutex<RulesState>,
     submitted: AtomicU64,
     /// If set, reads return these rules although the state machine has a later revision.
-    stale_rules: Mutex<Option<RulesInForce>>,
+    stale_rules: Mutex<Option<CurrentRules>>,
     failure: Mutex<Option<StoreError>>,
 }
 
 impl ConfigStore for FakeStore {
-    fn rules(&self) -> BoxFuture<'_, Result<RulesInForce, StoreError>> {
+    fn rules(&self) -> BoxFuture<'_, Result<CurrentRules, StoreError>> {
         Box::pin(async {
             if let Some(rules) = self.stale_rules.lock().await.clone() {
                 return Ok(rules);
             }
             let config = self.config.lock().await;
-            Ok(RulesInForce {
+            Ok(CurrentRules {
                 revision: config.revision(),
                 rules: Arc::clone(config.rules()),
             })
