--- a/crates/auburnbridge/src/commands/control.rs
+++ b/crates/auburnbridge/src/commands/control.rs
@@ -60,7 +60,7 @@
             .snapshot_after_records(settings.snapshot_every)
             .build(),
         segment_size: settings.segment_size,
-        metrics_address: None,
+        statsd_address: None,
         operator_address: None,
         operator_keys: OperatorKeys::new(Vec::new()),
     };
--- a/crates/auburnbridge/src/commands/keeper.rs
+++ b/crates/auburnbridge/src/commands/keeper.rs
@@ -44,7 +44,7 @@
             .snapshot_after_records(settings.snapshot_every)
             .build(),
         segment_size: settings.segment_size,
-        metrics_address: settings.metrics_address,
+        statsd_address: settings.metrics_address,
         operator_address: settings.operator_address,
         operator_keys: operator_keys(&settings.operator_keys)?,
         ..KeeperOptions::new(
--- a/crates/auburnbridge_keeper/src/run.rs
+++ b/crates/auburnbridge_keeper/src/run.rs
@@ -92,7 +92,7 @@
     /// Size at which a segment of the log is closed.
     pub segment_size: ByteSize,
     /// Address of the statsd server that receives the metrics, if any.
-    pub metrics_address: Option<SocketAddr>,
+    pub statsd_address: Option<SocketAddr>,
     /// Address on which the administration API is served, if it is.
     pub operator_address: Option<SocketAddr>,
     /// Operator keys that the administration API accepts.
@@ -123,7 +123,7 @@
             control: None,
             log: Config::default(),
             segment_size: DEFAULT_SEGMENT_SIZE,
-            metrics_address: None,
+            statsd_address: None,
             operator_address: None,
             operator_keys: OperatorKeys::new(Vec::new()),
         }
@@ -279,7 +279,7 @@
         store,
         Box::new(transport),
         Arc::clone(clock),
-        Metrics::new(options.metrics_address).change_context(KeeperError)?,
+        Metrics::new(options.statsd_address).change_context(KeeperError)?,
         CoreOptions {
             membership_policy: options.membership_policy,
             observer: Some(Arc::clone(catalogue) as Arc<dyn CommitObserver>),
