--- a/crates/auburnbridge/src/commands/entry.rs
+++ b/crates/auburnbridge/src/commands/entry.rs
@@ -38,7 +38,7 @@
         request_body_limit: settings.request_body_limit,
         answer_memory: settings.answer_memory,
         connections_per_target: settings.connections_per_target as usize,
-        metrics_address: settings.metrics_address,
+        statsd_address: settings.metrics_address,
         operator_address: settings.operator_address,
     };
     task::block_on(async {
--- a/crates/auburnbridge_entry/src/keyed.rs
+++ b/crates/auburnbridge_entry/src/keyed.rs
@@ -57,7 +57,7 @@
             request_digest,
             attempt: attempt.clone(),
             grant_deadline: req.deadline.after(SETTLE_GRACE),
-            previous_sends: req.previous_attempts,
+            previous_sends: req.previous_sends,
         };
         let reply = match entry.ledger.apply(command).await {
             Ok(reply) => reply,
--- a/crates/auburnbridge_entry/src/request.rs
+++ b/crates/auburnbridge_entry/src/request.rs
@@ -29,7 +29,7 @@
     /// Idempotency key; `None` for idempotent requests.
     pub key: Option<IdempotencyKey>,
     /// Number of earlier sends of the same request, if the caller states it.
-    pub previous_attempts: Option<u32>,
+    pub previous_sends: Option<u32>,
     /// Time of arrival.
     pub arrived: Timestamp,
     /// Time at which the caller stops waiting for the answer.
@@ -66,7 +66,7 @@
             .unwrap_or_else(|| ANONYMOUS.parse().expect("`ANONYMOUS` is a valid name"));
         let wait = header(&message, DEADLINE_HEADER)?
             .map_or(route.timeout, |wait: Millis| wait.min(route.timeout));
-        let previous_attempts: Option<u32> = header(&message, PREVIOUS_ATTEMPTS_HEADER)?;
+        let previous_sends: Option<u32> = header(&message, PREVIOUS_ATTEMPTS_HEADER)?;
         let key = match route.class {
             RouteClass::Idempotent => None,
             RouteClass::Once => Some(header(&message, KEY_HEADER)?.ok_or_else(|| {
@@ -78,7 +78,7 @@
             route,
             account,
             key,
-            previous_attempts,
+            previous_sends,
             arrived: now,
             deadline: now.after(wait),
             message,
@@ -105,7 +105,7 @@
     /// `unknown` if the request has a key, unless the caller states that this is the first send. An
     /// earlier send may have run, and the ledger has not ruled this out.
     pub fn reject_without_grant(&self, problem: Problem) -> Problem {
-        if self.key.is_some() && self.previous_attempts != Some(0) {
+        if self.key.is_some() && self.previous_sends != Some(0) {
             problem.for_possible_resend()
         } else {
             problem
@@ -118,7 +118,7 @@
     /// take the delayed command for that of a resend and grant it, so the earlier send could still
     /// run.
     pub fn reject_after_withdrawal(&self, problem: Problem) -> Problem {
-        if self.previous_attempts.is_none() {
+        if self.previous_sends.is_none() {
             problem.for_possible_resend()
         } else {
             problem
--- a/crates/auburnbridge_entry/src/run.rs
+++ b/crates/auburnbridge_entry/src/run.rs
@@ -79,7 +79,7 @@
     /// Maximum number of connections to one target.
     pub connections_per_target: usize,
     /// Address of the statsd server that receives the metrics, if any.
-    pub metrics_address: Option<SocketAddr>,
+    pub statsd_address: Option<SocketAddr>,
 }
 
 /// Error of starting an entry; the cause is attached to the report.
@@ -141,7 +141,7 @@
             targets: Arc::clone(&pool) as Arc<dyn crate::TargetClient>,
             crashes: Arc::clone(&neighbours) as Arc<dyn crate::CrashReporter>,
             tasks: Arc::new(RuntimeTaskSpawner),
-            metrics: Arc::new(Metrics::new(options.metrics_address).change_context(EntryError)?),
+            metrics: Arc::new(Metrics::new(options.statsd_address).change_context(EntryError)?),
             seed: rand::random(),
         };
         let location = Location {
--- a/crates/auburnbridge_entry/tests/request_path/headers.rs
+++ b/crates/auburnbridge_entry/tests/request_path/headers.rs
@@ -24,7 +24,7 @@
             "account={} key={} previous={:?} wait={}",
             req.account,
             req.key.map_or("none".to_owned(), |key| key.to_string()),
-            req.previous_attempts,
+            req.previous_sends,
             req.deadline.since(START)
         ),
         Err(problem) => format!("{} {}: {}", problem.kind, problem.outcome(), problem.detail),
