--- a/crates/auburnbridge_messages/src/lib.rs
+++ b/crates/auburnbridge_messages/src/lib.rs
@@ -112,7 +112,8 @@
     pub position: ListPosition,
     /// Changed targets; all targets if the position can't be resumed, such as another keeper's.
     pub targets: Vec<Announcement>,
-    /// Time since the keeper's state was last confirmed to be complete.
+    /// Time since the keeper, with all records applied that it knew to be committed, last led its
+    /// group or heard from the leader.
     pub confirmed_before: Option<Millis>,
     /// VMs of the keepers.
     pub keepers: Vec<VmId>,
