--- a/crates/auburnbridge/src/commands/control.rs
+++ b/crates/auburnbridge/src/commands/control.rs
@@ -6,7 +6,7 @@
 
 use argh::FromArgs;
 use async_std::task;
-use auburnbridge_keeper::{Admission, ControlOptions, KeeperOptions, PeerSecurity};
+use auburnbridge_keeper::{ControlOptions, KeeperOptions, MembershipPolicy, PeerSecurity};
 use auburnbridge_log::Config;
 use auburnbridge_operator::OperatorKeys;
 use auburnbridge_peer::PeerAddress;
@@ -41,12 +41,12 @@
         security: PeerSecurity::Unprotected,
         data_folder: settings.data_folder,
         keepers: Arc::clone(&keepers),
-        may_found: settings.founds_group,
-        admission: Admission {
+        may_found_group: settings.founds_group,
+        membership_policy: MembershipPolicy {
             admits_new_vms: true,
-            least_voters: 2 * settings.tolerated_losses as usize + 1,
+            min_voters: 2 * settings.tolerated_losses as usize + 1,
         },
-        vms_are_addresses: true,
+        vms_named_by_ip: true,
         heartbeat_interval: settings.heartbeat_interval,
         control: Some(ControlOptions {
             address: settings.control_address,
@@ -60,7 +60,7 @@
             .snapshot_after_records(settings.snapshot_every)
             .build(),
         segment_size: settings.segment_size,
-        metrics_address: None,
+        statsd_address: None,
         operator_address: None,
         operator_keys: OperatorKeys::new(Vec::new()),
     };
@@ -80,6 +80,6 @@
 fn keeper_addresses(seeds: &[SocketAddr], peer_port: u16) -> Vec<PeerAddress> {
     seeds
         .iter()
-        .map(|seed| PeerAddress::at(seed.ip(), peer_port))
+        .map(|seed| PeerAddress::from_ip(seed.ip(), peer_port))
         .collect()
 }
--- a/crates/auburnbridge_entry/src/entry.rs
+++ b/crates/auburnbridge_entry/src/entry.rs
@@ -12,9 +12,9 @@
 use auburnbridge_messages::ServiceEvidence;
 use auburnbridge_metrics::{Counter, Metrics, Timer};
 use auburnbridge_policy::{AccountLimit, AccountLimiter, CrashReport, PoisonTable};
-use auburnbridge_rules::{Class, Rules};
+use auburnbridge_rules::{RouteClass, Rules};
 use auburnbridge_types::{
-    AttemptId, BodyDigest, BoxFuture, Clock, DataCentre, ErrorKind, Millis, Revision, Timestamp,
+    AttemptId, BoxFuture, Clock, DataCentre, ErrorKind, Millis, RequestDigest, Revision, Timestamp,
     VmId,
 };
 use log::info;
@@ -183,7 +183,7 @@
         self.poison.lock().record(now, report);
     }
 
-    pub(crate) fn is_poisoned(&self, digest: &BodyDigest) -> bool {
+    pub(crate) fn is_poisoned(&self, digest: &RequestDigest) -> bool {
         let now = self.deps.clock.now();
         self.poison.lock().is_poisoned(now, digest)
     }
@@ -221,8 +221,8 @@
             return self.refuse(&req, &req.reject_without_grant(problem));
         }
         let result = match req.route.class {
-            Class::Idempotent => idempotent::serve(self, &req, &disconnect).await,
-            Class::Once => keyed::serve(self, &req).await,
+            RouteClass::Idempotent => idempotent::serve(self, &req, &disconnect).await,
+            RouteClass::Once => keyed::serve(self, &req).await,
         };
         self.finish_request(&req, result)
     }
--- a/crates/auburnbridge_entry/src/keyed.rs
+++ b/crates/auburnbridge_entry/src/keyed.rs
@@ -3,7 +3,7 @@
 
 use async_std::io::Cursor;
 use auburnbridge_caller::Problem;
-use auburnbridge_http::{Connection, Limits, RequestInfo, Response, Verdict, encode_response};
+use auburnbridge_http::{Connection, KeepAlive, Limits, RequestInfo, Response, encode_response};
 use auburnbridge_ledger::{Command, LedgerKey, MAX_ANSWER_SIZE, Reply, StoredAnswer};
 use auburnbridge_types::{AttemptId, ByteSize, ErrorKind, Millis};
 use log::info;
@@ -48,16 +48,16 @@
         idempotency_key: req.key.expect("routes of class `once` require a key"),
         account: req.account.clone(),
     };
-    let body_digest = req.digest();
+    let request_digest = req.digest();
     let attempt = entry.next_attempt();
     let mut backoff = Backoff::between_grants();
     loop {
         let command = Command::Grant {
             key: key.clone(),
-            body_digest,
+            request_digest,
             attempt: attempt.clone(),
-            deadline: req.deadline.after(SETTLE_GRACE),
-            previous_attempts: req.previous_attempts,
+            grant_deadline: req.deadline.after(SETTLE_GRACE),
+            previous_sends: req.previous_sends,
         };
         let reply = match entry.ledger.apply(command).await {
             Ok(reply) => reply,
@@ -135,7 +135,7 @@
 ) -> Command {
     let mut encoded = Vec::new();
     let info = RequestInfo::from(&req.message);
-    encode_response(response, info, Verdict::Reuse, &mut encoded);
+    encode_response(response, info, KeepAlive::Reuse, &mut encoded);
     Command::Conclude {
         key,
         attempt,
--- a/crates/auburnbridge_entry/src/request.rs
+++ b/crates/auburnbridge_entry/src/request.rs
@@ -2,8 +2,8 @@
 
 use auburnbridge_caller::Problem;
 use auburnbridge_http::Request;
-use auburnbridge_rules::{Class, Method, Route, Rules};
-use auburnbridge_types::{AccountId, BodyDigest, ErrorKind, IdempotencyKey, Millis, Timestamp};
+use auburnbridge_rules::{Method, Route, RouteClass, Rules};
+use auburnbridge_types::{AccountId, ErrorKind, IdempotencyKey, Millis, RequestDigest, Timestamp};
 use sha2::{Digest, Sha256};
 
 /// Header with the idempotency key of a request of the class `Once`.
@@ -29,7 +29,7 @@
     /// Idempotency key; `None` for idempotent requests.
     pub key: Option<IdempotencyKey>,
     /// Number of earlier sends of the same request, if the caller states it.
-    pub previous_attempts: Option<u32>,
+    pub previous_sends: Option<u32>,
     /// Time of arrival.
     pub arrived: Timestamp,
     /// Time at which the caller stops waiting for the answer.
@@ -66,10 +66,10 @@
             .unwrap_or_else(|| ANONYMOUS.parse().expect("`ANONYMOUS` is a valid name"));
         let wait = header(&message, DEADLINE_HEADER)?
             .map_or(route.timeout, |wait: Millis| wait.min(route.timeout));
-        let previous_attempts: Option<u32> = header(&message, PREVIOUS_ATTEMPTS_HEADER)?;
+        let previous_sends: Option<u32> = header(&message, PREVIOUS_ATTEMPTS_HEADER)?;
         let key = match route.class {
-            Class::Idempotent => None,
-            Class::Once => Some(header(&message, KEY_HEADER)?.ok_or_else(|| {
+            RouteClass::Idempotent => None,
+            RouteClass::Once => Some(header(&message, KEY_HEADER)?.ok_or_else(|| {
                 let detail = format!("{} {path} runs at most once", message.method);
                 Problem::new(ErrorKind::KeyMissing, detail)
             })?),
@@ -78,7 +78,7 @@
             route,
             account,
             key,
-            previous_attempts,
+            previous_sends,
             arrived: now,
             deadline: now.after(wait),
             message,
@@ -86,7 +86,7 @@
     }
 
     /// Digest of account, method, path and body, which identifies the request across resends.
-    pub fn digest(&self) -> BodyDigest {
+    pub fn digest(&self) -> RequestDigest {
         let mut hasher = Sha256::new();
         for part in [
             self.account.as_str().as_bytes(),
@@ -98,14 +98,14 @@
             hasher.update((part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
-        BodyDigest(hasher.finalize().into())
+        RequestDigest(hasher.finalize().into())
     }
 
     /// Prepares a rejection of a request that got no grant: turns the outcome `not-run` into
     /// `unknown` if the request has a key, unless the caller states that this is the first send. An
     /// earlier send may have run, and the ledger has not ruled this out.
     pub fn reject_without_grant(&self, problem: Problem) -> Problem {
-        if self.key.is_some() && self.previous_attempts != Some(0) {
+        if self.key.is_some() && self.previous_sends != Some(0) {
             problem.for_possible_resend()
         } else {
             problem
@@ -118,7 +118,7 @@
     /// take the delayed command for that of a resend and grant it, so the earlier send could still
     /// run.
     pub fn reject_after_withdrawal(&self, problem: Problem) -> Problem {
-        if self.previous_attempts.is_none() {
+        if self.previous_sends.is_none() {
             problem.for_possible_resend()
         } else {
             problem
--- a/crates/auburnbridge_gateway/src/run.rs
+++ b/crates/auburnbridge_gateway/src/run.rs
@@ -214,7 +214,7 @@
     let pool = Pool::builder(Arc::clone(clock))
         .connect_timeout(CONNECT_TIMEOUT)
         .idle_timeout(POOL_IDLE_TIMEOUT)
-        .freshness(ONCE_MAX_IDLE)
+        .max_reuse_idle(ONCE_MAX_IDLE)
         .connections_per_target(options.connections_per_target)
         .echo_header(options.dialect.headers().attempt)
         .build();
@@ -247,8 +247,8 @@
         .message_limit(MESSAGE_LIMIT)
         .clock(Arc::clone(clock))
         .connect_timeout(KEEPER_CONNECT_TIMEOUT)
-        .first_backoff(KEEPER_MIN_BACKOFF)
-        .last_backoff(KEEPER_MAX_BACKOFF)
+        .initial_backoff(KEEPER_MIN_BACKOFF)
+        .max_backoff(KEEPER_MAX_BACKOFF)
         .build();
     let transport: Arc<dyn Transport> = Arc::new(PlainTransport::new(identity, peer_options));
     KeeperWatcher {
--- a/crates/auburnbridge_keeper/src/core.rs
+++ b/crates/auburnbridge_keeper/src/core.rs
@@ -107,12 +107,12 @@
 
 /// Who may join the group, and how many voters it needs to accept commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Admission {
+pub struct MembershipPolicy {
     /// Whether keepers on VMs without a member may join.
     pub admits_new_vms: bool,
     /// Minimum number of voters for the group to accept commands; `2 * n + 1` voters tolerate the
     /// loss of `n`.
-    pub least_voters: usize,
+    pub min_voters: usize,
 }
 
 /// Status of a keeper, as reported to other threads.
@@ -178,7 +178,7 @@
 /// Settings of a [`Core`].
 pub struct CoreOptions {
     /// Who may join, and when commands are accepted.
-    pub admission: Admission,
+    pub membership_policy: MembershipPolicy,
     /// Receives notifications of committed changes.
     pub observer: Option<Arc<dyn CommitObserver>>,
     /// Interval of the replica's ticks while no events arrive.
@@ -196,7 +196,7 @@
     next_token: u64,
     commits: CommitCounts,
     metrics: Metrics,
-    admission: Admission,
+    membership_policy: MembershipPolicy,
     observer: Option<Arc<dyn CommitObserver>>,
     tick: Duration,
 }
@@ -221,7 +221,7 @@
         clock: Arc<dyn Clock>,
         metrics: Metrics,
         CoreOptions {
-            admission,
+            membership_policy,
             observer,
             tick,
         }: CoreOptions,
@@ -236,7 +236,7 @@
             next_token: 0,
             commits: CommitCounts::default(),
             metrics,
-            admission,
+            membership_policy,
             observer,
             tick,
         };
@@ -291,7 +291,7 @@
     /// Whether the group has the minimum number of voters, with which a command survives the
     /// tolerated number of losses.
     fn accepts_proposals(&self) -> bool {
-        self.replica.members().voters().count() >= self.admission.least_voters
+        self.replica.members().voters().count() >= self.membership_policy.min_voters
     }
 
     fn handle_event(&mut self, event: Event) -> Vec<Output> {
@@ -373,11 +373,13 @@
                 let _ = reply.try_send(Ok(()));
                 return Vec::new();
             }
-            (None, None) if self.admission.admits_new_vms => MemberChange::AddLearner(Member {
-                replica,
-                vm,
-                role: MemberRole::Learner,
-            }),
+            (None, None) if self.membership_policy.admits_new_vms => {
+                MemberChange::AddLearner(Member {
+                    replica,
+                    vm,
+                    role: MemberRole::Learner,
+                })
+            }
             (None, None) => {
                 warn!("keeper join refused vm={vm}: no member of the group is on this VM");
                 let _ = reply.try_send(Err(RejectReason::InvalidChange));
