--- a/crates/auburnbridge/src/commands/keeper.rs
+++ b/crates/auburnbridge/src/commands/keeper.rs
@@ -44,10 +44,10 @@
             .snapshot_after_records(settings.snapshot_every)
             .build(),
         segment_size: settings.segment_size,
-        metrics_address: settings.metrics_address,
+        statsd_address: settings.metrics_address,
         operator_address: settings.operator_address,
         operator_keys: operator_keys(&settings.operator_keys)?,
-        ..KeeperOptions::listed(
+        ..KeeperOptions::new(
             own,
             PeerSecurity::MutualTls(settings.keys),
             settings.data_folder,
@@ -71,12 +71,12 @@
     let keeper = Keeper::start(options)
         .await
         .map_err(|report| Failure::from_report(&report))?;
-    let failed = async {
-        while !keeper.has_failed() {
+    let ended = async {
+        while !keeper.has_ended() {
             task::sleep(FAILURE_CHECK_INTERVAL).await;
         }
     };
-    stopped.or(failed).await;
+    stopped.or(ended).await;
     keeper
         .stop()
         .await
@@ -93,7 +93,7 @@
                 // If a team has the operator's name, its `team` lines apply to the key.
                 team: key.name.parse().ok(),
                 scopes: match &key.services {
-                    ServiceScope::All => vec![TeamScope::Everything],
+                    ServiceScope::All => vec![TeamScope::All],
                     ServiceScope::Listed(names) => {
                         names.iter().cloned().map(TeamScope::Service).collect()
                     }
--- a/crates/auburnbridge_entry/src/attempt.rs
+++ b/crates/auburnbridge_entry/src/attempt.rs
@@ -4,8 +4,8 @@
 use auburnbridge_http::{FramingError, Request, Response};
 use auburnbridge_metrics::{Counter, Timer};
 use auburnbridge_policy::{Observation, RequestClass};
-use auburnbridge_rules::Class;
-use auburnbridge_target::{Exchange, ExchangeResult, NotSent, Unknown};
+use auburnbridge_rules::RouteClass;
+use auburnbridge_target::{Exchange, ExchangeResult, NotSentReason, UnknownReason};
 use auburnbridge_types::{AttemptId, Millis, Timestamp};
 use futures_lite::FutureExt;
 use log::info;
@@ -20,19 +20,23 @@
 /// Header of a target's answer that states that the target did not run the request.
 pub const SHED_HEADER: &str = "Auburnbridge-Shed";
 
-/// Time without an answer that counts as a timeout of the target even if the route allows more.
+/// Minimum duration for an exchange that ends at the caller's deadline to count as evidence against
+/// the target; the timeout of the route, if that is shorter.
 const UNRESPONSIVE_AFTER: Millis = Millis(1_000);
 
 /// Result of one exchange with a target.
-pub(crate) enum AttemptResult {
+pub(crate) enum ExchangeOutcome {
     /// Complete answer of the target.
     Answered(Response),
     /// The target had no free slot and did not run the request.
     Shed,
     /// No byte was written to the target.
-    NotSent(NotSent),
+    NotSent(NotSentReason),
     /// The target may have run the request.
-    Unknown { reason: Unknown, crashed: bool },
+    Unknown {
+        reason: UnknownReason,
+        crashed: bool,
+    },
     /// The caller disconnected, and the exchange was cancelled.
     Cancelled,
 }
@@ -42,14 +46,14 @@
     /// target.
     ///
     /// `disconnect` cancels the exchange, but not the check whether the target crashed.
-    pub(crate) async fn attempt(
+    pub(crate) async fn run_exchange(
         &self,
         req: &CallerRequest,
         attempt: &AttemptId,
         assignment: Assignment,
         disconnect: Option<&Disconnect>,
-    ) -> AttemptResult {
-        let start = self.ports.clock.now();
+    ) -> ExchangeOutcome {
+        let start = self.deps.clock.now();
         info!(
             "routing service={} target={} attempt={attempt} class={} {}",
             req.route.service,
@@ -65,9 +69,9 @@
         let is_reused = exchange.as_ref().is_some_and(|exchange| exchange.reused);
         let result = match exchange {
             Some(exchange) => self.classify(exchange, &assignment).await,
-            None => AttemptResult::Cancelled,
+            None => ExchangeOutcome::Cancelled,
         };
-        let now = self.ports.clock.now();
+        let now = self.deps.clock.now();
         let time = now.since(start);
         info!(
             "exchange service={} target={} attempt={attempt} reused={is_reused} time={time} result={}",
@@ -76,7 +80,7 @@
             result.summary()
         );
         let service = ("service", req.route.service.as_str());
-        let metrics = &self.ports.metrics;
+        let metrics = &self.deps.metrics;
         metrics.count(Counter::Exchange, &[service, ("result", result.name())]);
         metrics.time(Timer::ExchangeTime, time, &[service]);
         assignment.finish(now, result.observation(time, req.route.timeout));
@@ -96,7 +100,7 @@
             .clone()
             .with_body_bytes(req.route.largest_answer);
         let class = request_class(req.route.class);
-        self.ports
+        self.deps
             .targets
             .exchange(assignment.address(), &message, class, &limits, req.deadline)
             .await
@@ -104,27 +108,27 @@
 
     /// Classifies the result of an exchange; after a lost connection, checks whether the target
     /// crashed.
-    async fn classify(&self, exchange: Exchange, assignment: &Assignment) -> AttemptResult {
+    async fn classify(&self, exchange: Exchange, assignment: &Assignment) -> ExchangeOutcome {
         match exchange.result {
-            ExchangeResult::Answered(response) if is_shed(&response) => AttemptResult::Shed,
+            ExchangeResult::Answered(response) if is_shed(&response) => ExchangeOutcome::Shed,
             ExchangeResult::Answered(mut response) => {
                 // Only the entry may set these headers.
                 response.headers.remove(OUTCOME_HEADER);
                 response.headers.remove(REPLAYED_HEADER);
-                AttemptResult::Answered(response)
+                ExchangeOutcome::Answered(response)
             }
-            ExchangeResult::NotSent(reason) => AttemptResult::NotSent(reason),
+            ExchangeResult::NotSent(reason) => ExchangeOutcome::NotSent(reason),
             ExchangeResult::Unknown {
                 reason,
                 answer_started,
             } => {
                 let connection_lost =
-                    matches!(reason, Unknown::Framing(error) if is_connection_loss(error));
-                let targets = &self.ports.targets;
+                    matches!(reason, UnknownReason::Framing(error) if is_connection_loss(error));
+                let targets = &self.deps.targets;
                 let crashed = connection_lost
                     && !answer_started
                     && targets.refuses_connections(assignment.address()).await;
-                AttemptResult::Unknown { reason, crashed }
+                ExchangeOutcome::Unknown { reason, crashed }
             }
         }
     }
@@ -143,7 +147,7 @@
     disconnected.or(async { Some(future.await) }).await
 }
 
-impl AttemptResult {
+impl ExchangeOutcome {
     fn name(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Evidence about the target, given the `time` of the attempt and the `timeout` of the route.
+    /// Evidence about the target, given the `time` of the exchange and the `timeout` of the route.
     fn observation(&self, time: Millis, timeout: Millis) -> Observation {
         match self {
             Self::Answered(response) if response.status >= 500 => Observation::ServerError,
@@ -179,11 +183,11 @@
             Self::Unknown { reason, .. } if reason.is_local() => Observation::NotAttributable,
             // A short deadline of the caller says nothing about the health of the target.
             Self::Unknown {
-                reason: Unknown::Deadline,
+                reason: UnknownReason::Deadline,
                 ..
             } if time < timeout.min(UNRESPONSIVE_AFTER) => Observation::NotAttributable,
             Self::Unknown {
-                reason: Unknown::Deadline,
+                reason: UnknownReason::Deadline,
                 ..
             } => Observation::TimedOut,
             Self::Unknown { .. } => Observation::InvalidAnswer,
@@ -205,7 +209,7 @@
 /// Request as it is sent to a target.
 fn outgoing_request(req: &CallerRequest, attempt: &AttemptId, now: Timestamp) -> Request {
     let mut message = req.message.clone();
-    message.verdict = auburnbridge_http::Verdict::Reuse;
+    message.keep_alive = auburnbridge_http::KeepAlive::Reuse;
     let remaining = req.deadline.since(now);
     message
         .headers
@@ -216,9 +220,9 @@
 }
 
 /// Converts the class of a route to that of the policy crate.
-pub(crate) fn request_class(class: Class) -> RequestClass {
+pub(crate) fn request_class(class: RouteClass) -> RequestClass {
     match class {
-        Class::Idempotent => RequestClass::Idempotent,
-        Class::Once => RequestClass::Once,
+        RouteClass::Idempotent => RequestClass::Idempotent,
+        RouteClass::Once => RequestClass::Once,
     }
 }
--- a/crates/auburnbridge_entry/src/fleets.rs
+++ b/crates/auburnbridge_entry/src/fleets.rs
@@ -1,4 +1,5 @@
-//! Fleets of the targets of all services, shared by all requests in flight.
+//! The targets of each service, grouped into one fleet per service and shared by all requests in
+//! flight.
 //!
 //! Lock order: the map of services, then one fleet, then its admission queue. No lock is held
 //! across an await point.
@@ -10,8 +11,8 @@
 use auburnbridge_messages::ServiceEvidence;
 use auburnbridge_metrics::{Counter, Metrics};
 use auburnbridge_policy::{
-    Action, AdmissionPolicy, Choice, Decision, Fleet, Member, Observation, RequestClass,
-    RetryBudget, Sensitivity, ServicePolicy, TargetKey, TargetView,
+    Action, AdmissionPolicy, Choice, Decision, EjectionPolicy, Fleet, Member, Observation,
+    RequestClass, RetryBudget, Sensitivity, TargetKey, TargetView,
 };
 use auburnbridge_rules::{Rules, Service};
 use auburnbridge_types::{Clock, DataCentre, Incarnation, ServiceName, TargetId, Timestamp, VmId};
@@ -111,7 +112,7 @@
         })
     }
 
-    /// Counts a first attempt for the retry budget.
+    /// Adds a request to the retry budget; the budget allows retries as a share of these requests.
     pub fn record_request(&self, now: Timestamp) {
         self.state.lock().retries.record_request(now);
     }
@@ -193,7 +194,7 @@
         let mut services = self.services.write();
         services.retain(|name, _| rules.service(name).is_some());
         for service in rules.services() {
-            let policy = policy_of(service);
+            let policy = ejection_policy_of(service);
             let retries = RetryBudget::new(now, service.retry_percent.0, service.retry_rate);
             if let Some(fleet) = services.get(&service.name) {
                 let mut state = fleet.state.lock();
@@ -259,7 +260,7 @@
         }
     }
 
-    /// Names of the services.
+    /// Services that have a fleet, in no particular order.
     pub fn names(&self) -> Vec<ServiceName> {
         self.services.read().keys().cloned().collect()
     }
@@ -275,13 +276,13 @@
 fn admission_policy_of(service: &Service) -> AdmissionPolicy {
     AdmissionPolicy {
         queue_limit: service.queue as usize,
-        lookup_share: f64::from(service.lookup_share.0) / 100.0,
+        idempotent_share: f64::from(service.lookup_share.0) / 100.0,
         ..AdmissionPolicy::default()
     }
 }
 
-fn policy_of(service: &Service) -> ServicePolicy {
-    ServicePolicy::builder()
+fn ejection_policy_of(service: &Service) -> EjectionPolicy {
+    EjectionPolicy::builder()
         .floor(service.slots_floor)
         .sensitivity(Sensitivity::new(service.ejection.0))
         .build()
--- a/crates/auburnbridge_entry/src/request.rs
+++ b/crates/auburnbridge_entry/src/request.rs
@@ -2,17 +2,17 @@
 
 use auburnbridge_caller::Problem;
 use auburnbridge_http::Request;
-use auburnbridge_rules::{Class, Method, Route, Rules};
-use auburnbridge_types::{AccountId, BodyDigest, ErrorKind, IdempotencyKey, Millis, Timestamp};
+use auburnbridge_rules::{Method, Route, RouteClass, Rules};
+use auburnbridge_types::{AccountId, ErrorKind, IdempotencyKey, Millis, RequestDigest, Timestamp};
 use sha2::{Digest, Sha256};
 
-/// Header with the idempotency key of a non-idempotent request.
+/// Header with the idempotency key of a request of the class `Once`.
 pub const KEY_HEADER: &str = "Idempotency-Key";
 /// Header with the time that the caller waits for the answer, in milliseconds.
 pub const DEADLINE_HEADER: &str = "Auburnbridge-Deadline-Ms";
 /// Header with the caller's account.
 pub const ACCOUNT_HEADER: &str = "Auburnbridge-Account";
-/// Header with the number of earlier attempts of the same request.
+/// Header with the number of earlier sends of the same request.
 pub const PREVIOUS_ATTEMPTS_HEADER: &str = "Auburnbridge-Previous-Attempts";
 /// Account of a request without an account header.
 const ANONYMOUS: &str = "anonymous";
@@ -29,7 +29,7 @@
     /// Idempotency key; `None` for idempotent requests.
     pub key: Option<IdempotencyKey>,
     /// Number of earlier sends of the same request, if the caller states it.
-    pub previous_attempts: Option<u32>,
+    pub previous_sends: Option<u32>,
     /// Time of arrival.
     pub arrived: Timestamp,
     /// Time at which the caller stops waiting for the answer.
@@ -39,7 +39,7 @@
 impl CallerRequest {
     /// Matches a request to a route and parses its headers.
     pub fn read(message: Request, rules: &Rules, now: Timestamp) -> Result<Self, Problem> {
-        // An entry with other rules may have accepted and run an earlier attempt.
+        // An entry with other rules may have accepted and run an earlier send.
         let may_be_resend = message.headers.get(KEY_HEADER).is_some() && !is_first_send(&message);
         Self::read_headers(message, rules, now).map_err(|problem| {
             if may_be_resend {
@@ -66,10 +66,10 @@
             .unwrap_or_else(|| ANONYMOUS.parse().expect("`ANONYMOUS` is a valid name"));
         let wait = header(&message, DEADLINE_HEADER)?
             .map_or(route.timeout, |wait: Millis| wait.min(route.timeout));
-        let previous_attempts: Option<u32> = header(&message, PREVIOUS_ATTEMPTS_HEADER)?;
+        let previous_sends: Option<u32> = header(&message, PREVIOUS_ATTEMPTS_HEADER)?;
         let key = match route.class {
-            Class::Idempotent => None,
-            Class::Once => Some(header(&message, KEY_HEADER)?.ok_or_else(|| {
+            RouteClass::Idempotent => None,
+            RouteClass::Once => Some(header(&message, KEY_HEADER)?.ok_or_else(|| {
                 let detail = format!("{} {path} runs at most once", message.method);
                 Problem::new(ErrorKind::KeyMissing, detail)
             })?),
@@ -78,7 +78,7 @@
             route,
             account,
             key,
-            previous_attempts,
+            previous_sends,
             arrived: now,
             deadline: now.after(wait),
             message,
@@ -86,7 +86,7 @@
     }
 
     /// Digest of account, method, path and body, which identifies the request across resends.
-    pub fn digest(&self) -> BodyDigest {
+    pub fn digest(&self) -> RequestDigest {
         let mut hasher = Sha256::new();
         for part in [
             self.account.as_str().as_bytes(),
@@ -98,24 +98,27 @@
             hasher.update((part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
-        BodyDigest(hasher.finalize().into())
+        RequestDigest(hasher.finalize().into())
     }
 
-    /// Sets the outcome of a rejection without a grant. The outcome `not-run` is kept only if there
-    /// was no earlier attempt; otherwise one may have run, which the ledger did not rule out.
+    /// Prepares a rejection of a request that got no grant: turns the outcome `not-run` into
+    /// `unknown` if the request has a key, unless the caller states that this is the first send. An
+    /// earlier send may have run, and the ledger has not ruled this out.
     pub fn reject_without_grant(&self, problem: Problem) -> Problem {
-        if self.key.is_some() && self.previous_attempts != Some(0) {
+        if self.key.is_some() && self.previous_sends != Some(0) {
             problem.for_possible_resend()
         } else {
             problem
         }
     }
 
-    /// Sets the outcome of a rejection after the grant was withdrawn. The outcome `not-run` is kept
-    /// only if the caller numbers its sends: the ledger then rejects a delayed Grant command of an
-    /// earlier send. Without a number it cannot distinguish that command from one of a resend.
+    /// Prepares a rejection of a request whose grant was withdrawn: turns the outcome `not-run`
+    /// into `unknown`, unless the caller states the number of earlier sends. With that number, the
+    /// ledger rejects a delayed `Grant` command of an earlier send. Without it, the ledger would
+    /// take the delayed command for that of a resend and grant it, so the earlier send could still
+    /// run.
     pub fn reject_after_withdrawal(&self, problem: Problem) -> Problem {
-        if self.previous_attempts.is_none() {
+        if self.previous_sends.is_none() {
             problem.for_possible_resend()
         } else {
             problem
--- a/crates/auburnbridge_entry/src/run.rs
+++ b/crates/auburnbridge_entry/src/run.rs
@@ -16,7 +16,7 @@
 use auburnbridge_metrics::Metrics;
 use auburnbridge_peer::keys::KeyRing;
 use auburnbridge_peer::{Handler, Options, PeerAddress, PeerServer, PeerTransport, Transport};
-use auburnbridge_platform::{Platform, READY_PATH, announcement_app, readiness_app};
+use auburnbridge_platform::{PlatformHandler, READY_PATH, announcement_app, readiness_app};
 use auburnbridge_policy::Presence;
 use auburnbridge_target::Pool;
 use auburnbridge_types::{
@@ -26,7 +26,7 @@
 use error_stack::{Report, ResultExt};
 use log::{info, warn};
 
-use crate::entry::{Entry, Location, Ports, RuntimeTaskSpawner};
+use crate::entry::{Dependencies, Entry, Location, RuntimeTaskSpawner};
 use crate::keeper_client::KeeperClient;
 use crate::neighbours::Neighbours;
 use crate::rules_feed::RulesFeed;
@@ -37,7 +37,7 @@
 const MAINTENANCE_INTERVAL: Millis = Millis(1_000);
 /// Interval at which evidence is sent to the other entries while a target is suspected.
 const EVIDENCE_INTERVAL: Millis = Millis(200);
-/// Maximum wait at a graceful stop for the pending commands to the ledger that end requests.
+/// Maximum wait at a graceful stop for the settlements still on their way to the ledger.
 const SETTLEMENT_TIMEOUT: Millis = Millis(5_000);
 const KEY_RELOAD_INTERVAL: Millis = Millis(30_000);
 /// Interval at which rumours and this entry's own announcement are sent.
@@ -79,7 +79,7 @@
     /// Maximum number of connections to one target.
     pub connections_per_target: usize,
     /// Address of the statsd server that receives the metrics, if any.
-    pub metrics_address: Option<SocketAddr>,
+    pub statsd_address: Option<SocketAddr>,
 }
 
 /// Error of starting an entry; the cause is attached to the report.
@@ -135,13 +135,13 @@
             .connections_per_target(options.connections_per_target)
             .build();
         let pool = Arc::new(pool);
-        let ports = Ports {
+        let deps = Dependencies {
             clock: Arc::clone(&clock),
             ledger: Arc::clone(&keepers) as Arc<dyn crate::LedgerClient>,
             targets: Arc::clone(&pool) as Arc<dyn crate::TargetClient>,
             crashes: Arc::clone(&neighbours) as Arc<dyn crate::CrashReporter>,
             tasks: Arc::new(RuntimeTaskSpawner),
-            metrics: Arc::new(Metrics::new(options.metrics_address).change_context(EntryError)?),
+            metrics: Arc::new(Metrics::new(options.statsd_address).change_context(EntryError)?),
             seed: rand::random(),
         };
         let location = Location {
@@ -149,7 +149,7 @@
             data_centre: options.data_centre.clone(),
         };
         let answer_limits = Limits::default().with_budget(budget.clone());
-        let entry = Arc::new(Entry::new(location, answer_limits, ports));
+        let entry = Arc::new(Entry::new(location, answer_limits, deps));
         let server: Arc<dyn Handler> = Arc::new(EntryServer::new(
             Arc::clone(&entry),
             Arc::clone(&neighbours),
@@ -222,12 +222,12 @@
             .limits(limits)
             .clock(Arc::clone(&self.clock))
             .build();
-        let platform: Arc<dyn Platform> = Arc::clone(self) as Arc<dyn Platform>;
+        let handler: Arc<dyn PlatformHandler> = Arc::clone(self) as Arc<dyn PlatformHandler>;
         let callers = Arc::new(CallerService {
             entry: Arc::clone(&self.entry),
-            readiness: TideService::new(readiness_app(Arc::clone(&platform))),
+            readiness: TideService::new(readiness_app(Arc::clone(&handler))),
         });
-        let targets = Arc::new(TideService::new(announcement_app(platform)));
+        let targets = Arc::new(TideService::new(announcement_app(handler)));
         self.spawn_listener(
             self.options.caller_address,
             callers,
@@ -335,7 +335,7 @@
     }
 }
 
-impl Platform for Shared {
+impl PlatformHandler for Shared {
     fn readiness(&self) -> Result<(), &'static str> {
         if self.lifecycle.phase() != Phase::Serving {
             return Err("the entry is shutting down");
@@ -352,7 +352,7 @@
         Ok(())
     }
 
-    fn announce(&self, announcement: Announcement) -> Verdict {
+    fn handle_announcement(&self, announcement: Announcement) -> Verdict {
         let service = announcement.service.clone();
         let verdict = self.neighbours.announce(announcement);
         if verdict == Verdict::Left {
--- a/crates/auburnbridge_entry/tests/request_path/fakes.rs
+++ b/crates/auburnbridge_entry/tests/request_path/fakes.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::task::Poll;
 
-use auburnbridge_entry::{CrashReporter, Entry, LedgerClient, LedgerUnavailable, TargetClient};
+use auburnbridge_entry::{CrashReporter, Entry, KeepersUnavailable, LedgerClient, TargetClient};
 use auburnbridge_http::{FramingError, Limits, Request, Response};
 use auburnbridge_ledger::{Command, Ledger, Reply};
 use auburnbridge_policy::{CrashReport, RequestClass};
-use auburnbridge_target::{Exchange, ExchangeResult, NotSent, Unknown};
+use auburnbridge_target::{Exchange, ExchangeResult, NotSentReason, UnknownReason};
 use auburnbridge_types::{BoxFuture, Clock, Millis, PausedClock, Timestamp};
 use futures_lite::FutureExt;
 use parking_lot::Mutex;
@@ -76,7 +76,7 @@
     command: Command,
     /// Reply to the first application of the command.
     reply: Option<Reply>,
-    delivered: Option<Result<Reply, LedgerUnavailable>>,
+    delivered: Option<Result<Reply, KeepersUnavailable>>,
 }
 
 /// Clock of an entry; a backoff counts as reaching the step `ChooseTarget` again.
@@ -178,7 +178,7 @@
         self.state.lock().released[ticket] = Some(fault);
     }
 
-    async fn send_command(&self, command: Command) -> Result<Reply, LedgerUnavailable> {
+    async fn send_command(&self, command: Command) -> Result<Reply, KeepersUnavailable> {
         let index = {
             let mut state = self.state.lock();
             state.commands.push(SentCommand {
@@ -221,14 +221,14 @@
     }
 }
 
-fn no_reply() -> Result<Reply, LedgerUnavailable> {
-    Err(LedgerUnavailable {
+fn no_reply() -> Result<Reply, KeepersUnavailable> {
+    Err(KeepersUnavailable {
         reason: "the keepers gave no reply".to_owned(),
     })
 }
 
 impl LedgerClient for FakeCluster {
-    fn apply(&self, command: Command) -> BoxFuture<'_, Result<Reply, LedgerUnavailable>> {
+    fn apply(&self, command: Command) -> BoxFuture<'_, Result<Reply, KeepersUnavailable>> {
         Box::pin(async move {
             if self.state.lock().is_scheduled {
                 return self.send_command(command).await;
@@ -282,15 +282,17 @@
             Some(Fault::TargetCrashes) => {
                 self.state.lock().crashed.insert(address);
             }
-            Some(Fault::CutOneWay) => return ExchangeResult::NotSent(NotSent::ConnectTimeout),
+            Some(Fault::CutOneWay) => {
+                return ExchangeResult::NotSent(NotSentReason::ConnectTimeout);
+            }
             Some(Fault::Shed) => return ExchangeResult::Answered(shed_response()),
             _ => {}
         }
         if self.state.lock().crashed.contains(&address) {
-            return ExchangeResult::NotSent(NotSent::Refused);
+            return ExchangeResult::NotSent(NotSentReason::Refused);
         }
         if self.clock.now() >= deadline {
-            return ExchangeResult::NotSent(NotSent::Deadline);
+            return ExchangeResult::NotSent(NotSentReason::Deadline);
         }
         match self.next_fault() {
             Some((Step::Write, Fault::Shed)) => {
@@ -325,7 +327,7 @@
                 },
             };
             return ExchangeResult::Unknown {
-                reason: Unknown::Framing(error),
+                reason: UnknownReason::Framing(error),
                 answer_started: answer_started || error == FramingError::ClosedInBody,
             };
         }
@@ -388,10 +390,10 @@
             let timeout = async {
                 self.clock.sleep(deadline.since(now)).await;
                 if self.state.lock().executions.len() == executions_before {
-                    return ExchangeResult::NotSent(NotSent::Deadline);
+                    return ExchangeResult::NotSent(NotSentReason::Deadline);
                 }
                 ExchangeResult::Unknown {
-                    reason: Unknown::Deadline,
+                    reason: UnknownReason::Deadline,
                     answer_started: false,
                 }
             };
--- a/crates/auburnbridge_gateway/src/gateway.rs
+++ b/crates/auburnbridge_gateway/src/gateway.rs
@@ -13,7 +13,7 @@
 use auburnbridge_target::Pool;
 use auburnbridge_telemetry::ProcessMetrics;
 use auburnbridge_types::{
-    BodyDigest, BoxFuture, ByteSize, Clock, ConfigVersion, Millis, Timestamp,
+    BoxFuture, ByteSize, Clock, ConfigVersion, Millis, RequestDigest, Timestamp,
 };
 use event_listener::Event;
 use log::info;
@@ -59,7 +59,8 @@
 
 /// State of a gateway.
 ///
-/// Lock order: `splits`, `poison` and `unreported_crashes` are never held together with another lock.
+/// Lock order: `splits` before the locks of `services`. `poison` and `unreported_crashes` are never
+/// held together with another lock.
 pub struct Gateway {
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) headers: HeaderNames,
@@ -81,11 +82,11 @@
     /// Version of the configuration that the route is from.
     pub(crate) version: ConfigVersion,
     pub(crate) route: Arc<PublishedRoute>,
-    pub(crate) digest: BodyDigest,
+    pub(crate) digest: RequestDigest,
     pub(crate) arrived: Timestamp,
     /// Arrival time plus the route's timeout, or the caller's deadline if that is earlier.
     pub(crate) deadline: Timestamp,
-    /// Time until which a response is of full use to the caller.
+    /// Instant until which a response is of full use to the caller.
     pub(crate) objective: Timestamp,
 }
 
@@ -166,13 +167,13 @@
         std::mem::take(&mut self.unreported_crashes.lock())
     }
 
-    pub(crate) fn is_poisoned(&self, digest: &BodyDigest) -> bool {
+    pub(crate) fn is_poisoned(&self, digest: &RequestDigest) -> bool {
         let now = self.clock.now();
         self.poison.lock().is_poisoned(now, digest)
     }
 
-    /// Limits of a target's response. It may be delimited by the end of its connection, since targets
-    /// seal their responses.
+    /// Limits of a target's response. It may be delimited by the end of its connection, since
+    /// targets seal their responses. Only the presence of the seal is checked.
     pub(crate) fn response_limits(&self) -> Limits {
         Limits::default()
             .with_body_bytes(RESPONSE_BODY_LIMIT)
@@ -243,8 +244,9 @@
     failure.to_response(retry_after)
 }
 
-/// Digest that identifies a request across the attempts of its caller, whose attempt ids differ.
-pub fn request_digest(request: &Request) -> BodyDigest {
+/// Digest of host, method, path and body, which identifies a request across the attempts of its
+/// caller, whose attempt ids differ.
+pub fn request_digest(request: &Request) -> RequestDigest {
     let mut hasher = Sha256::new();
     let host = request.headers.get("Host").unwrap_or_default();
     for part in [
@@ -257,7 +259,7 @@
         hasher.update((part.len() as u64).to_be_bytes());
         hasher.update(part);
     }
-    BodyDigest(hasher.finalize().into())
+    RequestDigest(hasher.finalize().into())
 }
 
 /// The [`Service`] that forwards the requests of callers through a shared gateway.
--- a/crates/auburnbridge_keeper/src/run.rs
+++ b/crates/auburnbridge_keeper/src/run.rs
@@ -27,12 +27,12 @@
 use crate::catalogue::Catalogue;
 use crate::control::ControlService;
 use crate::core::{
-    Admission, CommitCounts, CommitObserver, Core, CoreError, CoreHandle, CoreOptions, Event,
-    LogTransport,
+    CommitCounts, CommitObserver, Core, CoreError, CoreHandle, CoreOptions, Event, LogTransport,
+    MembershipPolicy,
 };
 use crate::directory::PeerDirectory;
 use crate::formation::Formation;
-use crate::gossip::Gossip;
+use crate::gossip::AnnouncementForwarder;
 use crate::group_client::GroupClient;
 use crate::operator_store::OperatorStore;
 use crate::peers::{PeerSecurity, PeerSetup, RunningServer};
@@ -59,7 +59,7 @@
     pub dialect: Arc<dyn Dialect>,
     /// Largest body of a call.
     pub body_limit: ByteSize,
-    /// Address on which the metrics of the calls are served, if they are.
+    /// Address on which the metrics of the calls are served over HTTP, if they are.
     pub metrics_address: Option<SocketAddr>,
 }
 
@@ -78,11 +78,11 @@
     /// The list may be replaced while the keeper runs.
     pub keepers: Arc<Mutex<Vec<PeerAddress>>>,
     /// Whether this keeper may found a group.
-    pub may_found: bool,
+    pub may_found_group: bool,
     /// Who may join the group, and how many voters it needs to accept commands.
-    pub admission: Admission,
+    pub membership_policy: MembershipPolicy,
     /// Whether VMs are named by their IP addresses and all keepers use the port of `peer_address`.
-    pub vms_are_addresses: bool,
+    pub vms_named_by_ip: bool,
     /// Interval of the leader's heartbeats; the tick interval is a fraction of it.
     pub heartbeat_interval: Millis,
     /// Options of the control interface, if it is served.
@@ -92,7 +92,7 @@
     /// Size at which a segment of the log is closed.
     pub segment_size: ByteSize,
     /// Address of the statsd server that receives the metrics, if any.
-    pub metrics_address: Option<SocketAddr>,
+    pub statsd_address: Option<SocketAddr>,
     /// Address on which the administration API is served, if it is.
     pub operator_address: Option<SocketAddr>,
     /// Operator keys that the administration API accepts.
@@ -101,7 +101,7 @@
 
 impl KeeperOptions {
     /// Creates the options of a keeper whose settings name all keepers; other options have defaults.
-    pub fn listed(
+    pub fn new(
         own: PeerAddress,
         security: PeerSecurity,
         data_folder: PathBuf,
@@ -113,17 +113,17 @@
             security,
             data_folder,
             keepers: Arc::new(Mutex::new(keepers)),
-            may_found: true,
-            admission: Admission {
+            may_found_group: true,
+            membership_policy: MembershipPolicy {
                 admits_new_vms: false,
-                least_voters: 1,
+                min_voters: 1,
             },
-            vms_are_addresses: false,
+            vms_named_by_ip: false,
             heartbeat_interval: DEFAULT_HEARTBEAT_INTERVAL,
             control: None,
             log: Config::default(),
             segment_size: DEFAULT_SEGMENT_SIZE,
-            metrics_address: None,
+            statsd_address: None,
             operator_address: None,
             operator_keys: OperatorKeys::new(Vec::new()),
         }
@@ -206,7 +206,7 @@
     }
 
     /// Whether the [`Core`] thread has ended; [`Keeper::stop`] returns the reason.
-    pub fn has_failed(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.thread.is_finished()
     }
 
@@ -245,7 +245,7 @@
 
 fn peer_directory(options: &KeeperOptions) -> PeerDirectory {
     let directory = PeerDirectory::new(&options.keepers.lock());
-    if options.vms_are_addresses {
+    if options.vms_named_by_ip {
         directory.with_shared_port(options.peer_address.port())
     } else {
         directory
@@ -279,9 +279,9 @@
         store,
         Box::new(transport),
         Arc::clone(clock),
-        Metrics::new(options.metrics_address).change_context(KeeperError)?,
+        Metrics::new(options.statsd_address).change_context(KeeperError)?,
         CoreOptions {
-            admission: options.admission,
+            membership_policy: options.membership_policy,
             observer: Some(Arc::clone(catalogue) as Arc<dyn CommitObserver>),
             tick: Duration::from_millis(options.heartbeat_interval.0 / TICKS_PER_HEARTBEAT),
         },
@@ -354,7 +354,7 @@
         cache: ViewCache,
         keys: Option<Arc<KeyRing>>,
     ) {
-        let gossip = Gossip {
+        let forwarder = AnnouncementForwarder {
             own_vm: options.vm.clone(),
             catalogue: self.catalogue,
             cache,
@@ -363,7 +363,7 @@
             transport: Arc::clone(&self.transport),
             clock: Arc::clone(&self.clock),
         };
-        task::spawn(gossip.run());
+        task::spawn(forwarder.run());
         let clock = Arc::clone(&self.clock);
         if let Some(keys) = keys {
             task::spawn(async move {
@@ -374,7 +374,7 @@
             vm: options.vm,
             replica,
             keepers: options.keepers,
-            may_found: options.may_found,
+            may_found_group: options.may_found_group,
             directory: self.directory,
             transport: self.transport,
             clock: self.clock,
--- a/crates/auburnbridge_policy/src/policy.rs
+++ b/crates/auburnbridge_policy/src/policy.rs
@@ -69,10 +69,11 @@
     }
 }
 
-/// Ejection settings of one service.
+/// Ejection settings of one service. Its queue and retry settings are those of
+/// [`crate::AdmissionPolicy`] and [`crate::RetryBudget`].
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServicePolicy {
-    /// Slots that ejections leave in use.
+pub struct EjectionPolicy {
+    /// Minimum number of slots that ejections leave in use.
     pub floor: Slots,
     /// Trade-off between false ejections and detection time.
     pub sensitivity: Sensitivity,
@@ -80,16 +81,17 @@
     pub base_ejection_time: Millis,
     /// Upper bound of the duration of an ejection.
     pub max_ejection_time: Millis,
-    /// Successful requests that end a trial.
+    /// Successful requests that end a trial after the first ejection. Each further ejection adds as
+    /// many, up to eight times this number.
     pub trial_successes: u32,
-    /// Healthy time after which the count of earlier ejections falls by one.
+    /// Time in use after which the count of earlier ejections falls by one.
     pub ejection_decay_time: Millis,
 }
 
-impl ServicePolicy {
+impl EjectionPolicy {
     /// Returns a builder with the default settings.
-    pub fn builder() -> ServicePolicyBuilder {
-        ServicePolicyBuilder(Self {
+    pub fn builder() -> EjectionPolicyBuilder {
+        EjectionPolicyBuilder(Self {
             floor: Slots(0),
             sensitivity: Sensitivity::CAREFUL,
             base_ejection_time: Millis(5_000),
@@ -100,11 +102,11 @@
     }
 }
 
-/// Builds a [`ServicePolicy`].
+/// Builds an [`EjectionPolicy`].
 #[derive(Clone, Debug)]
-pub struct ServicePolicyBuilder(ServicePolicy);
+pub struct EjectionPolicyBuilder(EjectionPolicy);
 
-impl ServicePolicyBuilder {
+impl EjectionPolicyBuilder {
     /// Sets the floor.
     #[must_use]
     pub fn floor(mut self, floor: Slots) -> Self {
@@ -133,14 +135,14 @@
         self
     }
 
-    /// Sets the number of successful requests that end a trial.
+    /// Sets the number of successful requests that end a trial after the first ejection.
     #[must_use]
     pub fn trial_successes(mut self, successes: u32) -> Self {
         self.0.trial_successes = successes;
         self
     }
 
-    /// Sets the healthy time after which the count of earlier ejections falls by one.
+    /// Sets the time in use after which the count of earlier ejections falls by one.
     #[must_use]
     pub fn ejection_decay_time(mut self, time: Millis) -> Self {
         self.0.ejection_decay_time = time;
@@ -148,7 +150,7 @@
     }
 
     /// Returns the policy.
-    pub fn build(self) -> ServicePolicy {
+    pub fn build(self) -> EjectionPolicy {
         self.0
     }
 }
